--- a/Source/Core/Decisions/Admission.cpp
+++ b/Source/Core/Decisions/Admission.cpp
@@ -11,7 +11,7 @@
 void FairDeadlineQueue::Push(QueuedRequest request)
 {
   ServiceQueue& queue = m_services[request.service];
-  // A service that was idle starts at the present virtual time: it saves up no share.
+  // An idle service restarts at the current virtual time, so that it accumulates no credit.
   if (queue.requests.empty())
     queue.virtual_time = std::max(queue.virtual_time, m_virtual_time);
   const auto place =
--- a/Source/Core/Decisions/Admission.h
+++ b/Source/Core/Decisions/Admission.h
@@ -14,16 +14,16 @@
 
 namespace Decisions
 {
-/// A request that waits for a replica.
+/// A request that is queued until a replica can serve it.
 struct QueuedRequest
 {
   std::uint64_t id = 0;
   Common::ServiceId service;
-  std::int64_t weight = 1; ///< Of the service, from the table.
+  std::int64_t weight = 1; ///< Of the calling service, from the configuration table.
   Common::TimePoint deadline;
 };
 
-/// Orders the requests that wait for one artifact.
+/// Orders the queued requests for one artifact.
 template <typename T>
 concept QueuePolicy = requires(T queue, const T constant, QueuedRequest request, std::uint64_t id)
 {
@@ -39,8 +39,8 @@
     } -> std::same_as<std::size_t>;
 };
 
-/// Weighted fair shares of the calling services (start-time fair queueing by virtual time), and
-/// within a service the earliest deadline first.
+/// Weighted fair queueing between the calling services (start-time fair queueing by virtual time);
+/// earliest deadline first within a service.
 class FairDeadlineQueue
 {
 public:
@@ -48,13 +48,13 @@
   std::optional<QueuedRequest> Pop();
   bool Remove(std::uint64_t id);
   std::size_t Size() const;
-  /// The earliest deadline of all that wait.
+  /// The earliest deadline of all queued requests.
   std::optional<Common::TimePoint> EarliestDeadline() const;
 
 private:
   struct ServiceQueue
   {
-    std::vector<QueuedRequest> requests; ///< By deadline.
+    std::vector<QueuedRequest> requests; ///< Sorted by deadline.
     double virtual_time = 0;
   };
 
@@ -62,7 +62,7 @@
   double m_virtual_time = 0;
 };
 
-/// The baseline: first come, first served.
+/// Baseline policy: first come, first served.
 class FifoQueue
 {
 public:
@@ -79,23 +79,23 @@
 static_assert(QueuePolicy<FairDeadlineQueue>);
 static_assert(QueuePolicy<FifoQueue>);
 
-/// What admission knows when a request comes.
+/// What is known when a request arrives and is to be admitted or refused.
 struct AdmissionInput
 {
   Common::Milliseconds until_deadline{0};
-  Common::Milliseconds expected_load{0}; ///< Until a replica is loaded; 0 where one is.
-  std::size_t waiting = 0;               ///< Ahead in the queue.
-  std::int64_t slots = 0;                ///< Requests that the replicas run at once.
-  Common::Milliseconds service_time{0};  ///< Mean of one request.
+  Common::Milliseconds expected_load{0}; ///< Until a replica is loaded; 0 if one is.
+  std::size_t waiting = 0;               ///< Requests ahead in the queue.
+  std::int64_t slots = 0;                ///< Concurrent requests over all replicas.
+  Common::Milliseconds service_time{0};  ///< Mean time to serve one request.
 };
 
-/// When the request can be expected to begin; it is refused at once where that is past its
-/// deadline, instead of waiting for a time-out.
+/// The expected time until the request starts. A request that would start after its deadline is
+/// refused immediately instead of waiting for a timeout.
 Common::Milliseconds ExpectedWait(const AdmissionInput& input);
 bool CanMeetDeadline(const AdmissionInput& input);
 
-/// Limits retries to a share of the requests, so that a failing back end is not flooded: each
-/// request earns a part of a retry, each retry spends a whole one.
+/// Limits retries to a fraction of the requests, so that a failing backend is not overloaded: each
+/// request adds a fraction of a token and each retry consumes one token.
 class RetryBudget
 {
 public:
@@ -105,7 +105,7 @@
   }
 
   void OnRequest() { m_tokens = std::min(m_burst, m_tokens + m_earn); }
-  /// Takes one retry where the budget allows it.
+  /// Consumes one token; false if less than one is left.
   bool TrySpend();
 
 private:
--- a/Source/Core/Decisions/Eviction.h
+++ b/Source/Core/Decisions/Eviction.h
@@ -8,19 +8,20 @@
 #include <span>
 #include <vector>
 
-/// What to give up together, so that something else has room.
+/// Chooses a set of items to evict in order to free a given amount of memory.
 namespace Decisions
 {
-/// One thing that may be given up.
+/// An item that may be evicted.
 struct EvictionItem
 {
   double memory_mb = 0;
-  double loss = 0; ///< What giving it up costs, in any one unit.
+  double loss = 0; ///< Cost of evicting it; any unit, the same for all items.
 };
 
-/// The positions of the items to give up until `needed_mb` fit beside `free_mb`: those with the
-/// least loss for their memory, without those that turn out not to be needed. Of equals the earlier
-/// goes first. Nothing where all of them together do not make room.
+/// Returns the indices of the items to evict so that at least `needed_mb` are free, starting from
+/// `free_mb`. Items with the lowest loss per megabyte are chosen first, and chosen items that turn
+/// out not to be needed are dropped again. Ties go to the earlier item. Returns nullopt if evicting
+/// all items does not free enough memory.
 std::optional<std::vector<std::size_t>> ChooseEvictions(std::span<const EvictionItem> items,
                                                         double free_mb, double needed_mb);
 } // namespace Decisions
--- a/Source/Core/Decisions/LoadOrder.h
+++ b/Source/Core/Decisions/LoadOrder.h
@@ -12,17 +12,17 @@
 
 namespace Decisions
 {
-/// A load that waits for its turn at the weight store.
+/// A load that is queued for the weight store.
 struct WaitingLoad
 {
   Common::ClaimId claim;
   Common::TimePoint asked;
   Common::TimePoint deadline;
   std::int64_t weight = 1;
-  std::int64_t waiting = 1; ///< Requests that wait for it.
+  std::int64_t waiting = 1; ///< Requests waiting for this load.
 };
 
-/// Chooses which load the weight store serves next; nothing where none waits.
+/// Chooses the load that the weight store serves next; nullopt if there is none.
 template <typename T>
 concept LoadOrderPolicy = requires(const T policy, std::vector<WaitingLoad> loads,
                                    Common::TimePoint now)
@@ -32,7 +32,7 @@
     } -> std::same_as<std::optional<std::size_t>>;
 };
 
-/// Waiting demand and weight over the time that is left: what is urgent and wanted by many first.
+/// Picks the load with the highest (weight * waiting requests) / time left until its deadline.
 class UrgencyOrder
 {
 public:
@@ -40,7 +40,7 @@
                                   Common::TimePoint now) const;
 };
 
-/// The baseline: first come, first served.
+/// Baseline policy: first come, first served.
 class FifoOrder
 {
 public:
--- a/Source/Core/Decisions/Placement.cpp
+++ b/Source/Core/Decisions/Placement.cpp
@@ -21,7 +21,7 @@
   double loss = 0;
 };
 
-/// Nothing where even all that may go does not make room.
+/// Returns nullopt if evicting all evictable replicas does not free enough memory.
 std::optional<EvictionPlan> PlanEviction(const PlacementCandidate& candidate, MegaBytes memory)
 {
   std::vector<EvictionItem> items;
@@ -91,13 +91,14 @@
     return item.free >= memory;
   });
   if (roomy != candidates.end())
-    return Placement{roomy->server, {}, "first with room"};
+    return Placement{roomy->server, {}, "first with free memory"};
   for (PlacementCandidate candidate : candidates)
   {
     for (Evictable& item : candidate.evictable)
       item.loss = -static_cast<double>(item.idle.count() * item.memory.Get());
     if (const auto plan = PlanEviction(candidate, memory))
-      return Placement{candidate.server, plan->claims, "first where the longest idle make room"};
+      return Placement{candidate.server, plan->claims,
+                       "first where evicting the longest idle frees enough memory"};
   }
   return std::nullopt;
 }
--- a/Source/Core/Decisions/Placement.h
+++ b/Source/Core/Decisions/Placement.h
@@ -13,7 +13,7 @@
 
 namespace Decisions
 {
-/// Where a checkpoint lies, from best to worst.
+/// Where a checkpoint is stored, from fastest to slowest to load.
 enum class CacheLevel
 {
   Memory,
@@ -21,26 +21,26 @@
   Remote,
 };
 
-/// A replica that a placement may evict.
+/// A replica that may be evicted to make room.
 struct Evictable
 {
   Common::ClaimId claim;
   Common::ArtifactId artifact;
   Common::MegaBytes memory;
   Common::Milliseconds idle{0};
-  /// The expected cost of losing it: its load time, weighted by how soon it is wanted again.
+  /// Expected cost of evicting it: its load time, weighted by how soon it will be needed again.
   double loss = 0;
 };
 
 struct PlacementCandidate
 {
   Common::VmId server;
-  bool local = true; ///< In the data centre of the demand.
+  bool local = true; ///< In the same data centre as the demand.
   Common::MegaBytes free;
   CacheLevel cache = CacheLevel::Remote;
-  /// For an adapter whose base is not there: where the base's checkpoint lies.
+  /// For an adapter whose base model is not loaded: where the checkpoint of the base is stored.
   std::optional<CacheLevel> base_cache;
-  std::int64_t replicas = 0; ///< Claimed on it already.
+  std::int64_t replicas = 0; ///< Replicas already claimed on this server.
   std::int64_t running = 0;
   std::vector<Evictable> evictable;
 };
@@ -52,7 +52,7 @@
   std::string why;
 };
 
-/// Chooses the backend server for one artifact; nothing where it fits nowhere.
+/// Chooses the backend server for one artifact; nullopt if it fits on none.
 template <typename T>
 concept PlacementPolicy = requires(const T policy, std::vector<PlacementCandidate> candidates,
                                    Common::MegaBytes memory)
@@ -62,7 +62,8 @@
     } -> std::same_as<std::optional<Placement>>;
 };
 
-/// Load time by cache level first, then the loss by eviction, then the spread.
+/// Minimizes the sum of the load time by cache level, the loss from evictions, a penalty for
+/// another data centre and penalties for running requests and replicas already on the server.
 class CacheAwarePlacement
 {
 public:
@@ -88,7 +89,8 @@
   Costs m_costs;
 };
 
-/// The baseline: the first server with room, evicting the longest idle where none has.
+/// Baseline policy: the first server with enough free memory, else the first on which evictions
+/// make room, evicting the longest idle replicas first.
 class FirstFitPlacement
 {
 public:
--- a/Source/Core/Decisions/Reconcile.cpp
+++ b/Source/Core/Decisions/Reconcile.cpp
@@ -19,11 +19,11 @@
     return ReconcileAction::Keep;
   if (input.engine_checks_fencing)
     return input.fence_raised ? ReconcileAction::Free : ReconcileAction::RaiseFence;
-  // An engine that ignores fencing numbers would carry out a late order at any time: while the
-  // holder may still send it, the claim stays counted, however long that takes.
+  // An engine that ignores fencing numbers executes a late order at any time, so the claim is kept
+  // for as long as the holder may still send it.
   if (input.order == OrderKnowledge::HolderSilent)
     return ReconcileAction::Keep;
-  // The connection of an order that was sent ended with the process that it was opened to.
+  // The order was sent on a connection to the previous engine process and ended with it.
   if (input.order == OrderKnowledge::Unknown && !input.same_incarnation)
     return ReconcileAction::Free;
   return input.settled ? ReconcileAction::Free : ReconcileAction::Keep;
--- a/Source/Core/Decisions/Reconcile.h
+++ b/Source/Core/Decisions/Reconcile.h
@@ -7,41 +7,41 @@
 
 namespace Decisions
 {
-/// The state of a claim as it stands in the platform's row of its backend server.
+/// The state of a claim as stored in the platform's row of its backend server.
 enum class ClaimState
 {
-  Ordered,   ///< The holder may send, or has sent, the one load order of this claim.
-  Loaded,    ///< The load order had a definite outcome: the artifact is there.
-  Unloading, ///< Unload orders may be sent; no new work goes there.
+  Ordered,   ///< The holder may send, or has sent, the single load order of this claim.
+  Loaded,    ///< The load order has completed: the artifact is loaded.
+  Unloading, ///< Unload orders may be sent; no new requests are routed to it.
 };
 
-/// What the engine's report says of the claim's artifact.
+/// The state of the claim's artifact in the engine's report.
 enum class ReportedState
 {
-  Unknown, ///< There is no current report.
+  Unknown, ///< No current report.
   Absent,
   Loading,
   Loaded,
   Unloading,
 };
 
-/// What is known of the one load order of an ordered claim.
+/// What this daemon knows about the single load order of an ordered claim.
 enum class OrderKnowledge
 {
-  InProgress,   ///< This daemon is waiting for its outcome.
-  NotSent,      ///< This daemon holds the claim and certainly sent and will send nothing.
-  Unknown,      ///< This daemon sent it, and its outcome is unknown.
-  HolderAlive,  ///< Another daemon holds the claim and settles it.
-  HolderSilent, ///< Another daemon holds it and may be frozen before sending.
-  HolderGone,   ///< Its holder can never act again.
+  InProgress,   ///< This daemon is waiting for the outcome.
+  NotSent,      ///< This daemon holds the claim; it did not and will not send the order.
+  Unknown,      ///< This daemon sent the order; the outcome is unknown.
+  HolderAlive,  ///< Another live daemon holds the claim and reconciles it.
+  HolderSilent, ///< Another daemon holds it and may be suspended just before sending.
+  HolderGone,   ///< The holder has terminated and cannot send any more.
 };
 
 enum class ReconcileAction
 {
-  Keep,       ///< Leave it counted.
-  MarkLoaded, ///< The order has arrived and is done.
-  RaiseFence, ///< Make the engine refuse the order if it still comes, then look again.
-  Free,       ///< Nothing can come of it any more: give slot and memory back.
+  Keep,       ///< Keep counting its slot and memory as used.
+  MarkLoaded, ///< The order was received and has completed.
+  RaiseFence, ///< Make the engine refuse the order if it arrives later, then re-evaluate.
+  Free,       ///< The order can no longer take effect: release slot and memory.
   SendUnload, ///< Send the unload order again.
 };
 
@@ -51,16 +51,16 @@
   ReportedState reported = ReportedState::Unknown;
   OrderKnowledge order = OrderKnowledge::InProgress;
   bool engine_checks_fencing = false;
-  /// The engine runs in the incarnation that the claim was made for.
+  /// The engine still runs in the incarnation that the claim was made for.
   bool same_incarnation = true;
-  /// The engine has confirmed a fencing number above the claim's in its present incarnation.
+  /// The engine has confirmed, in its current incarnation, a fencing number above the claim's.
   bool fence_raised = false;
-  /// The engine has answered reports without the artifact for the whole settling time, begun when
-  /// the order could be sent for the last time: what was on its way has been read.
+  /// All reports of the engine lacked the artifact during the whole settling time, which starts at
+  /// the last moment the order could have been sent: any order in transit has been read by now.
   bool settled = false;
 };
 
-/// Decides what the keeper does with one claim. Source: docs/DESIGN.md, "Claims"; checked as
-/// Models/Claim.pml.
+/// Decides what the keeper does with one claim. The rules are described in docs/DESIGN.md,
+/// "Claims", and verified by the model Models/Claim.pml.
 ReconcileAction Reconcile(const ReconcileInput& input);
 } // namespace Decisions
--- a/Source/Core/Decisions/Rendezvous.h
+++ b/Source/Core/Decisions/Rendezvous.h
@@ -16,8 +16,8 @@
 /// The weight of `member` for `key` in rendezvous hashing (XXH3).
 std::uint64_t RendezvousWeight(std::string_view key, std::string_view member);
 
-/// The member with the highest weight for `key`; nothing where there are no members. A member that
-/// comes or goes moves only the keys that it wins or had won.
+/// Returns the member with the highest weight for `key`; nullopt if there are no members. Adding or
+/// removing a member remaps only the keys that are assigned to that member.
 std::optional<Common::VmId> PickByRendezvous(std::string_view key,
                                              const std::vector<Common::VmId>& members);
 } // namespace Decisions
--- a/Source/Core/Decisions/ReplicaPlan.cpp
+++ b/Source/Core/Decisions/ReplicaPlan.cpp
@@ -17,37 +17,40 @@
 {
 using Common::Milliseconds;
 
-/// Of its batch, the part of a replica that requests may take before another replica is wanted:
-/// beyond it each token of all comes noticeably later, and a crash takes more requests along.
+/// Fraction of a replica's batch size that may be in use before another replica is wanted: above it
+/// the token latency of all requests rises noticeably, and a crash fails more requests.
 constexpr double COMFORTABLE_FILL = 0.25;
-/// A model that is asked for so often keeps a second replica, so that a crash does not stop it.
+/// Models with at least this arrival rate keep a second replica, so that a crash does not leave
+/// them unserved.
 constexpr double SPARE_REPLICA_ABOVE_PER_SECOND = 1.0;
-/// A replica that was wanted this lately is not given up for another model.
+/// A replica whose model was requested within this time is not evicted for another model.
 constexpr Milliseconds MIN_IDLE{400};
-/// A replica is kept at least so long after it was loaded: whoever waited for it gets its turn.
+/// Minimum time to keep a replica after its load, so that the requests that waited for it are
+/// served.
 constexpr Milliseconds MIN_STAY{600};
-/// A model that nobody holds and that is waited for so long may push out one that is in use: an
-/// unload waits for the runs of its model, so nothing is cut, and models take turns where there are
-/// more of them in use than places.
+/// A model without a replica whose requests have waited this long may evict a model in use. An
+/// unload waits for the running requests of its model, so none is interrupted, and models share the
+/// servers in turn if more are in use than fit.
 constexpr Milliseconds TURN_WAIT{900};
-/// A replica that is in use has its turn for at least so long.
+/// Minimum time to keep a replica in use before it may be evicted for a waiting model.
 constexpr Milliseconds MIN_TURN{1500};
-/// What one running request of the victim adds to the cost: the unload waits for it.
+/// Cost of each running request of an evicted replica: the unload waits for it.
 constexpr double VICTIM_RUN_COST_MS = 150;
-/// What an unload adds before the load can begin; measured on the users' bench.
+/// Delay that an unload adds before the load can start.
 constexpr Milliseconds UNLOAD_TIME{120};
-/// What one running request adds to the cost of loading on its server: the load and the requests
-/// slow each other.
+/// Cost of loading on a server for each request running there: the load and the requests slow each
+/// other down.
 constexpr double COST_PER_RUNNING_MS = 8;
 
-/// Plans look at all servers for so many models; beyond them only servers with a copy are weighed.
-/// A load from the weight store may go anywhere, but few may begin at once, and where there is no
-/// place for the most urgent models there is hardly one for the others.
+/// Number of models per plan for which all servers are scanned; for the others only servers with a
+/// copy are considered. A load from the weight store can go to any server, but few may start at the
+/// same time, and if no server has room for the most urgent models, there is hardly room for
+/// others.
 constexpr int MAX_FULL_SCANS = 16;
 
 using Victims = std::vector<const PlannedReplica*>;
 
-/// A place for a model on a server, perhaps after other models are given up.
+/// A server on which a model can be loaded, possibly after evicting other models.
 struct Candidate
 {
   ServerIndex server{};
@@ -110,19 +113,19 @@
 
 private:
   const PlannedModel& Model(ModelIndex model) const { return m_input.models[At(model)]; }
-  /// A server that takes fewer requests than come for the model does not count as one that holds
-  /// it.
+  /// A server whose rate limit is below the arrival rate of the model does not count as having it
+  /// loaded.
   static bool CarriesDemand(const PlannedServer& server, const PlannedModel& model)
   {
     return !server.requests_per_second || model.arrivals_per_second <= *server.requests_per_second;
   }
   int Replicas(ModelIndex model) const { return m_replicas[At(model)]; }
-  /// Nobody holds the model, and no replica is on its way. Where one on its way did not count, a
-  /// second was ordered 3 ms later and pushed out a model in use, again and again: 13 of 206
-  /// requests were refused with as many models in use as places.
+  /// True if no server has the model loaded or is loading it. Without counting pending loads, a
+  /// second replica was ordered 3 ms later and evicted a model in use, repeatedly: 13 of 206
+  /// requests were refused with as many models in use as fit on the servers.
   bool IsUnserved(ModelIndex model) const { return Replicas(model) + m_loading[At(model)] == 0; }
 
-  /// Models that lack a replica, the most urgent first.
+  /// Models with fewer replicas than wanted, most urgent first.
   std::vector<ModelIndex> ByUrgency() const
   {
     std::vector<ModelIndex> lacking;
@@ -137,14 +140,14 @@
     return lacking;
   }
 
-  /// How long the model has been waited for. Callers that leave or are refused do not set it back.
+  /// How long requests have waited for the model. Not reset by callers that leave or are refused.
   static Milliseconds WaitFor(const PlannedModel& model)
   {
     return std::max(model.oldest_wait, model.unserved_for);
   }
 
-  /// Many requests that wait for one load go before one; rank and age count beside the number, so
-  /// that nobody waits for ever.
+  /// Models with more waiting requests come first. Priority and waiting time also count, so that no
+  /// model starves.
   static double Urgency(const PlannedModel& model)
   {
     const double rank = 1 + 1.0 / (1 + model.priority);
@@ -163,7 +166,7 @@
 
   void PlaceModel(ModelIndex model)
   {
-    // A replica beyond the first is worth a load from disk, not one from the weight store.
+    // Additional replicas are loaded only from disk or host memory, not from the weight store.
     const bool unserved = IsUnserved(model);
     const bool store_allowed = unserved && m_store_left > 0 && !MayWaitForDisk(model);
     auto best =
@@ -178,16 +181,17 @@
 
   bool TakeFullScan() { return m_full_scans++ < MAX_FULL_SCANS; }
 
-  /// True where callers have asked in vain for longer than a load from disk saves. Each load from
-  /// the weight store keeps a server from other orders for its whole time: given wherever there
-  /// was room, they cost 0.05 of worth in the mean of six days on which one model starved.
+  /// True if the demand has been unserved for longer than a load from disk saves. Each load from
+  /// the weight store blocks other orders of its server for its whole duration: ordering them
+  /// wherever there was room lowered the mean score by 0.05 over six days on which one model
+  /// starved.
   bool MayLeaveDisk(ModelIndex model) const
   {
     return IsUnserved(model) && m_store_left > 0 &&
            Outlasts(Model(model), Model(model).unserved_for);
   }
 
-  /// Costs by the servers with a copy alone.
+  /// Examines only the servers with a copy, to bound its cost.
   PassedOver WhyPassedOver(ModelIndex model, bool store_allowed) const
   {
     const auto copies = m_input.copies.Of(model);
@@ -230,8 +234,8 @@
     return best;
   }
 
-  /// A place for a load from the weight store where it holds up no load from disk for a model that
-  /// is waited for too.
+  /// The best server for a load from the weight store among those that are not needed for loads
+  /// from disk of other models with waiting requests.
   std::optional<Candidate> BestUnwanted(ModelIndex model)
   {
     std::optional<Candidate> best;
@@ -241,7 +245,7 @@
     return best;
   }
 
-  /// Servers with a copy of a model that is waited for and that nobody holds.
+  /// Marks the servers with a copy of an unserved model that has waiting requests.
   void MarkDiskWanted(const std::vector<ModelIndex>& lacking)
   {
     for (const ModelIndex model : lacking)
@@ -257,22 +261,22 @@
     const auto candidate = CandidateOn(server, source, model);
     if (!candidate)
       return;
-    // A spare replica must not push out a model that is about as much in demand.
+    // An additional replica must not evict models with a comparable arrival rate.
     if (!unserved && candidate->victim_value * 2 >= Model(model).arrivals_per_second)
       return;
     if (!best || candidate->IsBetterThan(*best))
       best = candidate;
   }
 
-  /// True where a wait is longer than what a load from disk saves.
+  /// True if a wait is at least the time that a load from disk saves over the weight store.
   static bool Outlasts(const PlannedModel& model, Milliseconds wait)
   {
     return wait >= model.from_store - model.from_disk;
   }
 
-  /// True where the weights lie at a server that takes orders, though perhaps not at this moment,
-  /// and the wait so far is shorter than what a load from there saves. A load from the weight store
-  /// would keep another server from orders for its whole time.
+  /// True if a usable server has a copy of the weights, even if it is busy now, and the wait so far
+  /// is shorter than the time that a load from there saves. A load from the weight store would
+  /// block orders to another server for its whole duration.
   bool MayWaitForDisk(ModelIndex index) const
   {
     const PlannedModel& model = Model(index);
@@ -311,8 +315,8 @@
     {
       const double value = Value(victim->model);
       candidate.victim_value += value;
-      // A victim that is asked for often has to come back soon: half a load for each second's
-      // request.
+      // An evicted model with a high arrival rate must soon be loaded again: each arrival per
+      // second costs half a load.
       candidate.cost_ms += VICTIM_RUN_COST_MS * victim->in_flight +
                            static_cast<double>(UNLOAD_TIME.count()) + value * 1000;
     }
@@ -335,7 +339,7 @@
     return server.memory_mb - used;
   }
 
-  /// Arrivals a second that a replica of the model serves; the last replica serves them all.
+  /// Arrivals per second that one replica of the model serves; a single replica serves them all.
   double Value(ModelIndex model) const
   {
     return Model(model).arrivals_per_second / std::max(Replicas(model), 1);
@@ -360,24 +364,25 @@
     return replicas > wanted || wanted <= 1;
   }
 
-  /// True where a replica in use may make way for a model that waits: it has had its turn, and its
-  /// model is not in more demand.
+  /// True if a replica in use may be evicted for a waiting model: it has been loaded for long
+  /// enough, and its model is not in higher demand.
   bool MayGiveItsTurn(const PlannedServer& server, const PlannedReplica& replica,
                       const PlannedModel& waiting) const
   {
     const PlannedModel& model = Model(replica.model);
     if (!model.listed || server.loading == replica.model || m_input.now - replica.since < MIN_TURN)
       return false;
-    // Beyond the time of the slowest load each second in vain counts like one more request, so that
-    // a rare model has its turn at last.
+    // Each unserved second beyond the duration of the slowest load counts like one more waiting
+    // request, so that a rarely requested model is loaded eventually.
     const auto in_vain =
         std::chrono::floor<std::chrono::seconds>(waiting.unserved_for - waiting.from_store).count();
     return model.in_flight <= waiting.waiting + 1 + std::max<std::int64_t>(in_vain, 0);
   }
 
-  /// The replicas to give up so that a model has room; none where those that may go do not suffice.
-  /// A single one goes before several: each unload is an order of its own. Where no single one made
-  /// room for a model, it was never loaded: 0 of 608 requests of a replay were served.
+  /// The replicas to evict to free enough memory; empty if the evictable ones do not suffice. A
+  /// single replica is preferred to several, since each unload is a separate order. Several are
+  /// needed for large models: when only single replicas were evicted, a model for which none was
+  /// large enough was never loaded, and 0 of 608 requests of a replay were served.
   template <typename MayGo>
   Victims VictimsOn(const PlannedServer& server, double memory_needed, const MayGo& may_go) const
   {
@@ -436,7 +441,7 @@
   std::vector<int> m_replicas;
   std::vector<int> m_loading;
   std::vector<bool> m_ordered;
-  std::vector<bool> m_disk_wanted; ///< Servers to which other models should come from disk.
+  std::vector<bool> m_disk_wanted; ///< Servers needed for loads from disk.
   ReplicaPlan m_plan;
 };
 } // namespace
--- a/Source/Core/Decisions/ReplicaPlan.h
+++ b/Source/Core/Decisions/ReplicaPlan.h
@@ -12,8 +12,8 @@
 #include "Common/Units.h"
 #include "Decisions/WeightCopies.h"
 
-/// Which model to load where, and which to give up for it: a pure decision over what is known of
-/// the backend servers and of the demand.
+/// Decides which models to load on which backend servers and which to evict for them. Pure
+/// functions of the known state of the servers and of the demand.
 namespace Decisions
 {
 struct PlannedModel
@@ -22,40 +22,40 @@
   Common::Milliseconds from_host_memory{0};
   Common::Milliseconds from_disk{0};
   Common::Milliseconds from_store{0};
-  bool listed = true; ///< The operators' configuration names it; others are only given up.
-  int waiting = 0;    ///< Requests that wait for it, over all daemons.
-  int priority = 9;   ///< Of the most urgent that waits.
-  Common::Milliseconds oldest_wait{0};  ///< Of one request.
-  Common::Milliseconds unserved_for{0}; ///< Over all requests, while nobody holds it.
+  bool listed = true; ///< Named in the operators' configuration; other models are only evicted.
+  int waiting = 0;    ///< Requests waiting for it, over all daemons.
+  int priority = 9;   ///< Of the most urgent waiting request.
+  Common::Milliseconds oldest_wait{0};  ///< Longest wait of a single request.
+  Common::Milliseconds unserved_for{0}; ///< Over all requests, while no server has it loaded.
   double arrivals_per_second = 0;
   int in_flight = 0;             ///< Over all servers.
-  Common::TimePoint last_wanted; ///< By any request.
+  Common::TimePoint last_wanted; ///< Time of the last request for it.
 };
 
 struct PlannedReplica
 {
   ModelIndex model{};
   int in_flight = 0;
-  Common::TimePoint since; ///< When it was seen loaded first.
+  Common::TimePoint since; ///< When it was first seen as loaded.
 };
 
 struct PlannedServer
 {
   double memory_mb = 0;
-  double adapters_mb = 0; ///< Taken by adapters.
-  double reserved_mb = 0; ///< To be left free.
-  bool usable = true;     ///< Takes work and orders.
+  double adapters_mb = 0; ///< Memory used by adapters.
+  double reserved_mb = 0; ///< Memory to keep free.
+  bool usable = true;     ///< Accepts requests and orders.
   bool order_open = false;
-  /// It is about to leave: what it holds, and what is on its way there, counts for nothing.
+  /// The server is about to shut down: its replicas and pending loads are not counted.
   bool draining = false;
-  /// It takes no more from all daemons together, and has for a while.
+  /// Rate limit over all daemons together, if one has been in force for a while.
   std::optional<double> requests_per_second;
-  std::optional<ModelIndex> loading; ///< On its way, or next after an unload.
+  std::optional<ModelIndex> loading; ///< Being loaded, or next after an unload.
   int in_flight = 0;
   std::vector<PlannedReplica> replicas;
 };
 
-/// One order to one server.
+/// An order to a server.
 struct PlannedOrder
 {
   enum class Kind
@@ -66,36 +66,36 @@
   Kind kind = Kind::Load;
   ServerIndex server{};
   ModelIndex model{};
-  std::vector<ModelIndex> also_unload; ///< Of an unload: given up next, before anything is loaded.
-  std::optional<ModelIndex> for_model; ///< Of an unload: what is loaded on that server at last.
-  WeightSource source = WeightSource::WeightStore; ///< Of the load that is given or comes next.
+  std::vector<ModelIndex> also_unload; ///< Of an unload: further models to unload before the load.
+  std::optional<ModelIndex> for_model; ///< Of an unload: the model that is loaded afterwards.
+  WeightSource source = WeightSource::WeightStore; ///< Of this load or of the one that follows.
 };
 
-/// What the plan may do beyond loads for models that nobody holds.
+/// What the planner may do besides loading models that no server has loaded.
 struct PlanRules
 {
-  bool spare_replicas = true; ///< A model that is asked for often keeps a second replica.
-  bool turns = true;          ///< A model that waits long pushes out one in use.
-  bool disk_wait = true;      ///< A busy server with a disk copy is waited for.
+  bool spare_replicas = true; ///< Keep a second replica of frequently requested models.
+  bool turns = true;          ///< Models that wait too long may evict a model in use.
+  bool disk_wait = true;      ///< Wait for a busy server with a copy on disk.
 };
 
 struct ReplicaPlanInput
 {
   PlanRules rules;
   Common::TimePoint now;
-  int batch = 1; ///< Requests at once on one server.
+  int batch = 1; ///< Concurrent requests per server.
   std::vector<PlannedServer> servers;
   std::vector<PlannedModel> models;
   WeightCopies copies;
-  int store_loads_allowed = 0; ///< Loads from the weight store that may begin now.
+  int store_loads_allowed = 0; ///< Loads from the weight store that may start now.
 };
 
-/// Why a model that requests wait for, and that nobody holds, gets no load in this plan.
+/// Why a model with waiting requests and without a replica gets no load in this plan.
 enum class PlanObstacle : std::uint8_t
 {
-  NoUsableServer,  ///< No server takes orders.
-  ServersAtOrders, ///< Those that may load it carry out other orders.
-  NoRoom,          ///< On none of those that may load it is there room, or a model that may go.
+  NoUsableServer,  ///< No usable server has a copy; the weight store is not allowed.
+  ServersAtOrders, ///< All usable servers with a copy are executing other orders.
+  NoRoom,          ///< No server that could load it has enough free or evictable memory.
 };
 constexpr std::string_view ToString(PlanObstacle obstacle)
 {
@@ -111,28 +111,28 @@
   return "no_room";
 }
 
-/// A model that is passed over, with what decided it.
+/// A model that gets no load in this plan, and the reason.
 struct PassedOver
 {
   ModelIndex model{};
   PlanObstacle obstacle = PlanObstacle::NoUsableServer;
   std::size_t copies = 0;     ///< Servers with a copy of the weights.
-  bool store_allowed = false; ///< It might have come from the weight store to any server.
-  std::optional<ServerIndex>
-      nearest;        ///< Of the servers with a copy that take orders, the emptiest.
-  double free_mb = 0; ///< Of the nearest.
+  bool store_allowed = false; ///< It could have been loaded from the weight store on any server.
+  /// The usable server with a copy that has the most free memory.
+  std::optional<ServerIndex> nearest;
+  double free_mb = 0; ///< Free memory of `nearest`.
 };
 
 struct ReplicaPlan
 {
-  std::vector<PlannedOrder> orders; ///< To give now, at most one a server; the most urgent first.
-  std::vector<PassedOver> passed_over; ///< Models that requests wait for and that nobody gets.
-  /// Places that were weighed: what a plan costs, beside one look at each model and server.
+  std::vector<PlannedOrder> orders;    ///< To send now, at most one per server; most urgent first.
+  std::vector<PassedOver> passed_over; ///< Models with waiting requests that get no load.
+  /// Candidates evaluated: the cost of the plan, besides one pass over all models and servers.
   std::size_t candidates = 0;
 };
 
 ReplicaPlan PlanReplicas(const ReplicaPlanInput& input);
 
-/// How many replicas of a model the demand asks for.
+/// The number of replicas that the demand for a model calls for.
 int WantedReplicas(const PlannedModel& model, int batch, bool spare_replicas = true);
 } // namespace Decisions
--- a/Source/Core/Decisions/Retention.cpp
+++ b/Source/Core/Decisions/Retention.cpp
@@ -9,9 +9,9 @@
 {
 namespace
 {
-/// Below so many requests the artifact's own arrivals say nothing yet.
+/// Minimum number of requests for a meaningful mean gap between the artifact's requests.
 constexpr std::int64_t ENOUGH_REQUESTS = 3;
-/// A gap this many times the mean gap says that the use has ended.
+/// A gap of this many times the mean gap indicates that the artifact is no longer in use.
 constexpr double ENDED_GAPS = 8;
 } // namespace
 
--- a/Source/Core/Decisions/Retention.h
+++ b/Source/Core/Decisions/Retention.h
@@ -16,7 +16,7 @@
   Common::Milliseconds idle{0};
   Common::Milliseconds loaded_for{0};
   std::int64_t served = 0;
-  Common::Milliseconds load_time{0}; ///< What loading it again would take.
+  Common::Milliseconds load_time{0}; ///< Time to load it again.
   std::int64_t weight = 1;
 };
 
@@ -29,10 +29,11 @@
     } -> std::same_as<bool>;
 };
 
-/// Keeps an artifact while its idle time has cost less than loading it again would (the ski-rental
-/// rule, within twice the optimum for any arrivals), and gives up earlier where its own arrivals
-/// say that it will not be wanted before that. `exchange_rate` from the table: how many idle
-/// milliseconds one millisecond of cold start is worth.
+/// Keeps an artifact until its idle time has cost as much as loading it again (the ski-rental rule,
+/// which costs at most twice the optimum for any arrival sequence), and unloads it earlier if its
+/// own arrival rate indicates that it will not be requested before that. `exchange_rate`, from the
+/// configuration table, is the number of idle milliseconds that equal one millisecond of cold
+/// start.
 class CostRetention
 {
 public:
@@ -43,7 +44,7 @@
   double m_exchange_rate;
 };
 
-/// The baseline: a fixed time to keep alive.
+/// Baseline policy: a fixed keep-alive time.
 class FixedKeepAlive
 {
 public:
--- a/Source/Core/Decisions/Routing.cpp
+++ b/Source/Core/Decisions/Routing.cpp
@@ -11,10 +11,11 @@
 {
 namespace
 {
-/// The replica of the prompt's prefix may be so much busier than the least busy one.
+/// The preferred replica is used if its load is at most AFFINITY_SLACK times the lowest load plus
+/// AFFINITY_EXTRA.
 constexpr double AFFINITY_SLACK = 1.25;
 constexpr double AFFINITY_EXTRA = 4;
-/// What a hop to another data centre weighs, in running requests.
+/// Penalty for a replica in another data centre, in running requests.
 constexpr double REMOTE_PENALTY = 2;
 
 bool HasRoom(const RouteCandidate& candidate)
@@ -39,7 +40,7 @@
       open.push_back(index);
   if (open.empty())
     return std::nullopt;
-  // Equal loads are common; the random start spreads them over the daemons.
+  // Equal loads are common; the random start keeps all daemons from choosing the same replica.
   std::ranges::rotate(open, open.begin() + static_cast<std::ptrdiff_t>(random() % open.size()));
   const auto load_of = [&](std::size_t index) {
     return Load(candidates[index]);
--- a/Source/Core/Decisions/Routing.h
+++ b/Source/Core/Decisions/Routing.h
@@ -14,17 +14,17 @@
 
 namespace Decisions
 {
-/// A backend server that has the artifact loaded and takes work.
+/// A backend server that has the artifact loaded and accepts requests.
 struct RouteCandidate
 {
   Common::VmId server;
   bool local = true;
-  std::int64_t reported_running = 0; ///< By the engine, some time ago.
-  std::int64_t own_running = 0;      ///< This daemon's own requests there, exact.
-  std::int64_t limit = 0;            ///< Requests at once that this daemon may have there.
+  std::int64_t reported_running = 0; ///< From the last report of the engine; it lags.
+  std::int64_t own_running = 0;      ///< Running requests of this daemon; exact.
+  std::int64_t limit = 0;            ///< Maximum concurrent requests of this daemon.
 };
 
-/// Chooses among the candidates; nothing where all are full.
+/// Chooses one of the candidates; nullopt if all are at their limit.
 template <typename T>
 concept RoutingPolicy = requires(T policy, std::vector<RouteCandidate> candidates,
                                  std::string_view affinity, Common::Random random)
@@ -34,9 +34,9 @@
     } -> std::same_as<std::optional<std::size_t>>;
 };
 
-/// Prefers the replica that rendezvous hashing of the prompt's beginning points to, since its
-/// prefix cache may hold it, while that replica is not much busier than the least busy one. The
-/// report lags, so the daemon's own requests count in full beside it.
+/// Prefers the replica that rendezvous hashing selects for the prompt prefix, since its prefix
+/// cache may contain it, unless that replica is much busier than the least busy one. Engine reports
+/// lag, so the load is the larger of the reported requests and of this daemon's own requests.
 class AffinityRouting
 {
 public:
@@ -44,7 +44,7 @@
                                     std::string_view affinity, Common::Random& random) const;
 };
 
-/// The baseline.
+/// Baseline policy: round robin over the candidates below their limit.
 class RoundRobinRouting
 {
 public:
--- a/Source/Core/Decisions/UnservedDemand.h
+++ b/Source/Core/Decisions/UnservedDemand.h
@@ -10,16 +10,16 @@
 
 namespace Decisions
 {
-/// How long one model has been asked for while no server holds it, over all its requests.
+/// Tracks for how long a model has been in demand without being loaded on any server, over all its
+/// requests.
 ///
-/// A rule that goes by the age of the oldest request starts anew with each caller that leaves, is
-/// refused or comes back: with callers that leave after 1.7 s, one that waits for 5.5 s never
-/// holds.
+/// The age of the oldest request does not show this, since it restarts when a caller leaves, is
+/// refused or retries: with callers that leave after 1.7 s, a threshold of 5.5 s is never reached.
 class UnservedDemand
 {
 public:
-  /// As things stand now: whether a server holds the model, and when it was last asked for or had
-  /// requests waiting. The span so far.
+  /// Updates the state and returns the duration so far. `held`: a server has the model loaded.
+  /// `last_wanted`: when the model was last requested or had waiting requests.
   Common::Milliseconds Update(bool held, Common::TimePoint last_wanted, Common::TimePoint now)
   {
     const bool paused = last_wanted - m_last_wanted >= MEMORY;
@@ -33,7 +33,7 @@
   }
 
 private:
-  /// Without a request for so long the demand has ended: the time constant of the arrival rates.
+  /// Demand ends after this time without a request. Equals the time constant of the arrival rates.
   static constexpr std::chrono::seconds MEMORY{8};
 
   std::optional<Common::TimePoint> m_since;
--- a/Source/Core/Decisions/WaitForLoad.h
+++ b/Source/Core/Decisions/WaitForLoad.h
@@ -9,27 +9,28 @@
 #include "Common/Units.h"
 #include "Decisions/WeightCopies.h"
 
-/// Whether a request for a model that nobody holds waits for a load, or is refused at once.
+/// Decides whether a request for a model that no server has loaded waits or is refused immediately.
 namespace Decisions
 {
 struct WaitForLoadInput
 {
   Common::Milliseconds until_deadline{0};
-  /// So long the caller stays with a request from which it hears nothing.
+  /// How long the caller waits without receiving any data.
   Common::Milliseconds patience{0};
-  /// Where the nearest copy of the weights lies; nothing where that is not known.
+  /// Where the nearest copy of the weights is; nullopt if unknown.
   std::optional<WeightSource> nearest;
-  Common::Milliseconds from_store{0}; ///< What a load from the weight store takes.
-  bool is_coming = false;             ///< Such a load is under way: how far it is, is not known.
+  Common::Milliseconds from_store{0}; ///< Duration of a load from the weight store.
+  bool is_coming = false;             ///< Such a load is in progress; its progress is unknown.
 };
 
-/// The time until the model can be there, where the request cannot wait for that: it is refused now
-/// and should come back then. Nothing where it may wait.
+/// Returns the time until the model can be loaded if the request cannot wait that long; the request
+/// is then refused now and should be retried after that time. Returns nullopt if it may wait.
 ///
-/// Load pattern: many models, each asked for rarely, most of them on no disk, and a weight store
-/// that brings two in 13 s. Requests that could not be served were held for 5.6 s and refused then.
-/// The limit is the caller's own: the earlier of its deadline and of the moment at which it leaves.
-/// A load from a disk is never ruled out, since how long it waits for a place is not known.
+/// Guards against this load: many rarely requested models, most of them on no disk, and a weight
+/// store that delivers two in 13 s. Requests that could not be served were held for 5.6 s before
+/// they were refused. The time limit is the earlier of the caller's deadline and the time at which
+/// it leaves. A load from disk never causes a refusal, since the time until a server has room for
+/// it is unknown.
 inline std::optional<Common::Milliseconds> RefusedUntil(const WaitForLoadInput& input)
 {
   const bool only_in_store = input.nearest == WeightSource::WeightStore && !input.is_coming;
--- a/Source/Core/Decisions/WeightCopies.h
+++ b/Source/Core/Decisions/WeightCopies.h
@@ -8,14 +8,14 @@
 #include <span>
 #include <vector>
 
-/// Where the weights of models lie, as an index by model and by server.
+/// An index, by model and by server, of where copies of model weights are stored.
 namespace Decisions
 {
-/// A model's position in `ReplicaPlanInput::models`.
+/// Index of a model in `ReplicaPlanInput::models`.
 enum class ModelIndex : std::uint32_t
 {
 };
-/// A server's position in `ReplicaPlanInput::servers`.
+/// Index of a server in `ReplicaPlanInput::servers`.
 enum class ServerIndex : std::uint32_t
 {
 };
@@ -28,7 +28,7 @@
   return static_cast<std::size_t>(server);
 }
 
-/// Where the weights of a model lie, seen from one server; loading takes longer down the list.
+/// Where a server can load the weights of a model from, fastest first.
 enum class WeightSource : std::uint8_t
 {
   HostMemory,
@@ -36,23 +36,23 @@
   WeightStore,
 };
 
-/// A copy of one model's weights near one server.
+/// A copy of a model's weights in the memory or on the disk of a server.
 struct WeightCopy
 {
   ServerIndex server{};
   WeightSource source = WeightSource::Disk;
 };
 
-/// The copies of weights near servers. A change of one server costs by its own copies, a look-up of
-/// a model by the few servers that have one: a plan need not look at all servers for each model.
+/// The copies of weights on all servers. Updating a server costs time in proportion to its copies,
+/// and looking up a model in proportion to the few servers that have a copy, so the planner need
+/// not scan all servers for each model.
 class WeightCopies
 {
 public:
-  /// What lies near one server, in place of what was told before. A model in both lists counts as
-  /// in host memory.
+  /// Replaces the copies of one server. A model in both lists counts as in host memory.
   void Set(ServerIndex server, std::vector<ModelIndex> in_host_memory,
            std::vector<ModelIndex> on_disk);
-  /// Servers with a copy of the model, in no order.
+  /// Servers with a copy of the model, in no particular order.
   std::span<const WeightCopy> Of(ModelIndex model) const;
   WeightSource SourceOn(ServerIndex server, ModelIndex model) const;
   void Clear();
--- a/Source/Core/RateLimits/LimitBook.cpp
+++ b/Source/Core/RateLimits/LimitBook.cpp
@@ -11,12 +11,13 @@
 {
 using Common::Milliseconds;
 
-/// The holder tells for so long that a limit has ended; a daemon that hears it less often than that
-/// relies on the answers that it gets itself.
+/// How long the holder announces that a limit has ended. A daemon that receives updates less often
+/// relies on the responses that it gets itself.
 constexpr Milliseconds TELL_ENDED_FOR{10000};
-/// A daemon that did not run for so long since it read an answer may have missed newer ones.
+/// Maximum age of an observation. A daemon that was suspended for longer after reading a response
+/// may have missed newer ones.
 constexpr Milliseconds OBSERVATION_VALID{1000};
-/// An observation that the holder has not taken up by then was too old for it.
+/// An observation that the holder has not confirmed within this time was too old for it.
 constexpr Milliseconds ANSWERED_WITHIN{2000};
 
 bool IsStricter(std::optional<RequestRate> rate, std::optional<RequestRate> than)
@@ -90,7 +91,7 @@
   if (tenure > m_tenure)
     for (auto& [server, entry] : m_entries)
     {
-      // Another holder may never have heard of it.
+      // The new holder may not know this limit.
       entry.version = 0;
       entry.confirmed = !entry.rate;
     }
--- a/Source/Core/RateLimits/LimitBook.h
+++ b/Source/Core/RateLimits/LimitBook.h
@@ -15,7 +15,7 @@
 
 namespace RateLimits
 {
-/// A limit has begun, changed or ended.
+/// A limit that was added, changed or removed.
 struct LimitChange
 {
   ServerKey server;
@@ -23,53 +23,53 @@
   std::optional<RequestRate> rate;
 };
 
-/// The servers' limits as one daemon knows them.
+/// The rate limits of the servers as known to one daemon.
 ///
-/// The holder of the order lease numbers the changes of each limit, and daemons tell it what they
-/// read together with the last number that they knew. Which of two answers is newer follows from
-/// that and not from any clock: an answer shows that a limit has risen or ended only where its
-/// request was sent after the limit had become known. A lower limit holds at once, whichever answer
-/// names it.
+/// The holder of the order lease assigns version numbers to the changes of each limit. Daemons send
+/// it the limits they read together with the last version they knew, so the order of two readings
+/// follows from versions and not from clocks. A response raises or removes a limit only if its
+/// request was sent after the limit became known. A lower limit takes effect immediately, whichever
+/// response states it.
 class LimitBook
 {
 public:
   std::optional<RequestRate> InForce(ServerKey server) const;
-  /// Since when the server has had some limit, without a pause.
+  /// The start of the current uninterrupted period in which the server has a limit.
   std::optional<Common::TimePoint> LimitedSince(ServerKey server) const;
   bool Empty() const { return m_entries.empty(); }
-  /// Rises with each change of a limit.
+  /// Incremented on each change of a limit.
   std::uint64_t Revision() const { return m_revision; }
 
-  /// An answer to a request that this daemon sent at `sent_at`.
+  /// Records the limit in the response to a request that this daemon sent at `sent_at`.
   std::optional<LimitChange> NoteAnswer(ServerKey server, const LimitReading& reading,
                                         Common::TimePoint sent_at, Common::TimePoint now);
-  /// What the holder does not know yet.
+  /// Readings that the holder has not confirmed yet.
   std::vector<LimitObservation> Unconfirmed(Common::TimePoint now) const;
-  /// What the holder announced.
+  /// Applies an update that the holder sent.
   std::vector<LimitChange> TakeNews(std::int64_t tenure, const LimitNews& news,
                                     Common::TimePoint now);
 
-  /// This daemon is the holder from now on; what it knows is what it tells.
+  /// This daemon becomes the holder; the limits it knows become the announced ones.
   void BeginTenure(std::int64_t tenure);
   void EndTenure() { m_is_holder = false; }
-  /// What a daemon read that follows the holder of `tenure`.
+  /// Applies the readings of a daemon that follows the holder of `tenure`.
   std::vector<LimitChange> TakeObservations(std::int64_t tenure,
                                             std::span<const LimitObservation> observations,
                                             Common::TimePoint now);
-  /// The next part of all limits for all daemons, and from the beginning again; limits that ended
-  /// are told for a while.
+  /// Returns the next part of all limits to send to all daemons, starting over at the end. Removed
+  /// limits are included for a while.
   LimitNews NextNews(std::size_t max_lines, Common::TimePoint now);
 
-  /// Forgets servers that are gone.
+  /// Drops the entries of servers that are no longer known.
   void Retain(const std::function<bool(ServerKey)>& is_known);
 
 private:
   struct Entry
   {
     std::optional<RequestRate> rate;
-    Common::TimePoint learned_at;    ///< When `rate` became known here.
-    Common::TimePoint limited_since; ///< Where there is a rate.
-    std::uint32_t version = 0;       ///< The holder's last change that is known here.
+    Common::TimePoint learned_at;    ///< When this daemon learned `rate`.
+    Common::TimePoint limited_since; ///< Valid if there is a rate.
+    std::uint32_t version = 0;       ///< Last version of the holder that this daemon knows.
     bool confirmed = true;           ///< The holder knows `rate`.
   };
 
@@ -78,7 +78,7 @@
 
   std::map<ServerKey, Entry> m_entries;
   std::uint64_t m_revision = 0;
-  ServerKey m_told_up_to = FIRST_KEY; ///< By the news before.
+  ServerKey m_told_up_to = FIRST_KEY; ///< Last key of the previous update.
   std::int64_t m_tenure = 0;
   bool m_is_holder = false;
 };
--- a/Source/Core/RateLimits/LocalPermits.cpp
+++ b/Source/Core/RateLimits/LocalPermits.cpp
@@ -13,15 +13,15 @@
 using Common::Milliseconds;
 using Seconds = std::chrono::duration<double>;
 
-/// A holder that is silent for so long is missed; it speaks to each daemon twice in this span.
+/// The holder counts as unreachable after this silence; it sends to each daemon twice in this time.
 constexpr Milliseconds HOLDER_SILENCE{900};
-/// So long from then on the standbys of the last holder go on alone. A lease that was not given
-/// back is free after about 3 s and taken within another.
+/// For this long afterwards only the standbys of the last holder send. A lease that was not
+/// released expires after about 3 s and is acquired within another second.
 constexpr Milliseconds STANDBY_FOR{10000};
-/// For one server at once; more are never wanted.
+/// Maximum permits held for one server; more are never needed.
 constexpr std::size_t MAX_PERMITS = 4096;
-/// What flows in by itself gathers up to one request; a process that did not run meanwhile gets no
-/// more than what flows in so long.
+/// Maximum time for which the local bucket, whose capacity is one request, is refilled at once,
+/// after the process was suspended.
 constexpr Milliseconds LONGEST_FILL{1000};
 } // namespace
 
@@ -63,7 +63,7 @@
   if (m_heard_at && now - *m_heard_at <= HOLDER_SILENCE)
   {
     local.own = 0;
-    // Counted from here if no later message of the holder comes.
+    // Filling starts here if no later message of the holder arrives.
     local.filled_at = *m_heard_at + HOLDER_SILENCE;
     return;
   }
--- a/Source/Core/RateLimits/LocalPermits.h
+++ b/Source/Core/RateLimits/LocalPermits.h
@@ -14,29 +14,29 @@
 
 namespace RateLimits
 {
-/// The requests that this daemon may send to servers with a limit now.
+/// Decides whether this daemon may send a request to a rate-limited server now.
 ///
-/// They are permits of the holder of the order lease. While no holder is heard, the standbys that
-/// it last named go on at a part of the limit, each at its own part of that; after a while, or
-/// where no holder was ever heard, each daemon has an equal part. What flows in that way begins at
-/// nothing, so that all daemons together stay within their part however many they are.
+/// Normally each request uses a permit granted by the holder of the order lease. While no holder is
+/// heard, the standbys that it last named share a fixed fraction of the limit. After a while, or if
+/// no holder was ever heard, all daemons share that fraction equally. These local token buckets
+/// start empty, so that all daemons together stay within the fraction, however many there are.
 class LocalPermits
 {
 public:
-  /// All that may exist; for equal parts.
+  /// Sets the number of daemons that may exist, for the equal shares.
   void SetDaemons(int daemons) { m_daemons = daemons; }
   void NoteHolderHeard(Common::TimePoint now) { m_heard_at = now; }
   void Add(ServerKey server, std::uint32_t count, Common::TimePoint valid_until);
-  /// The servers for which this daemon is a standby; no others.
+  /// Replaces the list of servers for which this daemon is a standby.
   void SetStandbys(std::span<const StandbyLine> lines);
 
-  /// True where a request may be sent to the server, whose limit is `rate`.
+  /// True if a request may be sent to the server, whose limit is `rate`.
   bool MaySend(ServerKey server, RequestRate rate, Common::TimePoint now);
-  /// A request is sent; false where it may not be.
+  /// Consumes a permit, or a token of the local bucket, for one request; false if there is none.
   bool Take(ServerKey server, RequestRate rate, Common::TimePoint now);
-  /// Permits that nobody used in time, since the last call.
+  /// Returns the number of permits that expired unused since the last call.
   std::uint32_t TakeUnused(ServerKey server, Common::TimePoint now);
-  /// Forgets all servers but these.
+  /// Drops all servers except these.
   void Retain(std::span<const ServerKey> servers);
 
   struct Counters
@@ -51,10 +51,10 @@
 private:
   struct Local
   {
-    std::vector<Common::TimePoint> valid_until; ///< Of each permit.
+    std::vector<Common::TimePoint> valid_until; ///< Expiry of each permit.
     std::uint32_t unused = 0;
     std::optional<RequestRate> standby;
-    double own = 0; ///< Requests that flowed in while no holder was heard.
+    double own = 0; ///< Token bucket used while no holder is heard.
     Common::TimePoint filled_at;
   };
 
--- a/Source/Core/RateLimits/Messages.h
+++ b/Source/Core/RateLimits/Messages.h
@@ -13,14 +13,14 @@
 
 namespace RateLimits
 {
-/// Stands for one life of one backend server in books and messages.
+/// Identifies one incarnation of one backend server in tables and messages.
 using ServerKey = Common::Quantity<struct ServerKeyTag>;
 
-/// Before all keys and behind them.
+/// Lower and upper bounds of all keys.
 constexpr ServerKey FIRST_KEY{std::numeric_limits<std::int64_t>::min()};
 constexpr ServerKey LAST_KEY{std::numeric_limits<std::int64_t>::max()};
 
-/// A rate in messages; NO_LIMIT where there is none.
+/// Encodes the absence of a limit in messages.
 constexpr RequestRate NO_LIMIT{-1};
 
 constexpr RequestRate ToWire(std::optional<RequestRate> rate)
@@ -32,12 +32,12 @@
   return rate.Get() < 0 ? std::nullopt : std::optional(rate);
 }
 
-/// What a daemon read in a server's answer and the holder of the order lease does not know yet.
+/// A limit that a daemon read in a response and the holder of the order lease does not know yet.
 struct LimitObservation
 {
   ServerKey server;
   RequestRate rate;
-  /// The holder's last change of this limit that the daemon knew of when it sent the request.
+  /// The last version of this limit that the daemon knew when it read the response.
   std::uint32_t seen_version = 0;
   std::int64_t age_ms = 0;
 
@@ -48,14 +48,14 @@
   }
 };
 
-/// The limit of one server as the holder of the order lease tells all daemons.
+/// The limit of one server, sent by the holder of the order lease to all daemons.
 struct LimitLine
 {
   ServerKey server;
-  RequestRate rate;          ///< NO_LIMIT: it has ended lately.
-  std::uint32_t version = 0; ///< Rises with each change.
-  std::uint32_t waiting = 0; ///< Requests of all daemons that wait for a permit.
-  /// Until the next permit is free, where none waits.
+  RequestRate rate;          ///< NO_LIMIT if the limit was removed recently.
+  std::uint32_t version = 0; ///< Incremented on each change.
+  std::uint32_t waiting = 0; ///< Requests of all daemons waiting for a permit.
+  /// Time until the next permit is available, if no request waits.
   std::uint32_t free_in_ms = 0;
 
   template <typename Archive>
@@ -64,13 +64,13 @@
     archive(server, rate, version, waiting, free_in_ms);
   }
 };
-/// The limits of all servers whose keys lie behind `after`, up to `up_to`. Servers in between
+/// The limits of all servers with keys above `after` and up to `up_to`. Servers in this range
 /// without a line have no limit.
 struct LimitNews
 {
   ServerKey after;
   ServerKey up_to;
-  std::vector<LimitLine> lines; ///< By rising keys.
+  std::vector<LimitLine> lines; ///< Sorted by key.
 
   bool Covers(ServerKey server) const { return after < server && server <= up_to; }
 
@@ -81,15 +81,16 @@
   }
 };
 
-/// What a daemon wants of one server with a limit: one permit for each request that waits for it.
+/// A daemon's demand for permits for one server: one permit for each waiting request.
 struct PermitWant
 {
   ServerKey server;
   std::uint32_t count = 0;
   std::int32_t priority = 9;    ///< Of the most urgent request.
-  std::int64_t gives_up_ms = 0; ///< Until the first request gives up.
-  std::uint32_t unused = 0;     ///< Permits that were not used in time, since it was told last.
-  /// Requests went elsewhere that could have gone there: one may go to see whether the limit holds.
+  std::int64_t gives_up_ms = 0; ///< Time until the first request times out.
+  std::uint32_t unused = 0;     ///< Permits that expired unused since the last message.
+  /// Requests that this server could have served were routed elsewhere; one may be sent to check
+  /// whether the limit still applies.
   bool may_probe = false;
 
   bool operator==(const PermitWant&) const = default;
@@ -100,12 +101,12 @@
   }
 };
 
-/// The place of one daemon's requests in the queue for one server.
+/// The position of a daemon's requests in the queue for one server.
 struct PlaceLine
 {
   ServerKey server;
-  std::uint32_t ahead = 0;      ///< Other daemons' requests that come first.
-  std::uint32_t free_in_ms = 0; ///< Until the next permit is free.
+  std::uint32_t ahead = 0;      ///< Requests of other daemons that are served first.
+  std::uint32_t free_in_ms = 0; ///< Time until the next permit is available.
 
   template <typename Archive>
   void serialize(Archive& archive)
@@ -114,7 +115,7 @@
   }
 };
 
-/// Permits of one daemon for one server.
+/// Permits granted to a daemon for one server.
 struct PermitLine
 {
   ServerKey server;
@@ -127,7 +128,7 @@
   }
 };
 
-/// What a daemon may send to one server while it hears no holder.
+/// The rate at which a daemon may send to one server while it hears no holder.
 struct StandbyLine
 {
   ServerKey server;
@@ -140,20 +141,20 @@
   }
 };
 
-/// So long after the daemon asked, or the holder granted it without being asked anew, a permit may
-/// be used.
+/// Validity of a permit, counted from the daemon's request for it or, if the holder granted it
+/// later without a new request, from the grant.
 constexpr Common::Milliseconds PERMIT_VALID{500};
 
-/// Of a server's requests a second, what daemons may send together while they hear no holder. With
-/// the next holder's permits, that others hear already, it stays within one and a half times the
-/// limit.
+/// Fraction of a server's limit that all daemons together may send while they hear no holder. Added
+/// to the permits of the next holder, which other daemons may already receive, the total stays
+/// within one and a half times the limit.
 constexpr double UNHEARD_SHARE = 0.4;
 
-/// A server tells only in an answer that its limit has ended, so that some request must reach it
-/// even where it takes none: so many a second.
+/// Minimum requests per second sent to a limited server, even if its limit is 0: a server announces
+/// the end of its limit only in a response, so some requests must reach it.
 constexpr double LEAST_FLOW = 0.5;
 
-/// The requests a second that are sent to a server with this limit.
+/// Requests per second that are sent to a server with this limit.
 constexpr double FlowPerSecond(RequestRate rate)
 {
   return PerSecond(rate) > LEAST_FLOW ? PerSecond(rate) : LEAST_FLOW;
--- a/Source/Core/RateLimits/PermitKeeper.cpp
+++ b/Source/Core/RateLimits/PermitKeeper.cpp
@@ -17,23 +17,23 @@
 using Common::Milliseconds;
 using Seconds = std::chrono::duration<double>;
 
-/// A bucket gathers one request, and what flows in for so long.
+/// A bucket holds one request plus the inflow of this many seconds.
 constexpr double GATHERED_S = 0.25;
-/// Where nobody waits, one request in so long shows whether the limit still holds.
+/// If no request waits, one request per interval probes whether the limit still applies.
 constexpr Milliseconds PROBE_INTERVAL{1000};
-/// Daemons repeat what they wait for twice in this. What is kept for longer is mostly over: the
-/// message that said so was lost.
+/// Validity of a daemon's demand, which it repeats twice in this time. Older demand has mostly
+/// ended, and the message that said so was lost.
 constexpr Milliseconds WANT_VALID{400};
-/// Offers to probe are repeated twice in this.
+/// Validity of an offer to probe, which is repeated twice in this time.
 constexpr Milliseconds PROBE_OFFER_VALID{2500};
-/// No request waits longer.
+/// Upper bound for the waiting time of a request.
 constexpr Milliseconds LONGEST_WAIT{600000};
-/// A daemon that has asked for no permit for so long is no standby any more.
+/// A daemon that has not sent its demand for this long is no longer a standby.
 constexpr Milliseconds STANDBY_ASKED_WITHIN{10000};
 constexpr Milliseconds LOOK_FOR_SILENT_EVERY{1000};
-/// Requests a second of a standby: fewer would hardly be of use before a new holder is heard.
+/// Minimum requests per second of a standby: less is hardly useful before a new holder is heard.
 constexpr double LEAST_STANDBY_FLOW = 0.25;
-/// After a pause of this process the bucket fills by no more than so.
+/// Maximum time for which a bucket is refilled at once, after this process was suspended.
 constexpr Milliseconds LONGEST_FILL{1000};
 } // namespace
 
@@ -100,7 +100,8 @@
 {
   const auto most = static_cast<std::size_t>(
       std::max(std::floor(Flow() * UNHEARD_SHARE / LEAST_STANDBY_FLOW), 1.0));
-  // Who is one already stays one: two that take turns might both believe that they are.
+  // Existing standbys are kept: if two daemons alternated, both might act as standby at the same
+  // time.
   const auto rank = [this](const Common::VmId& vm) {
     const bool is_near = wants.at(vm).data_centre == data_centre;
     return std::pair(!is_near, std::ranges::find(standbys, vm) == standbys.end());
--- a/Source/Core/RateLimits/PermitKeeper.h
+++ b/Source/Core/RateLimits/PermitKeeper.h
@@ -15,14 +15,14 @@
 
 namespace RateLimits
 {
-/// Who asks for permits.
+/// The daemon that asks for permits.
 struct Asker
 {
   Common::VmId vm;
   Common::DataCentreId data_centre;
 };
 
-/// Permits for one server that go to one daemon.
+/// Permits for one server granted to one daemon.
 struct Grant
 {
   Common::VmId vm;
@@ -30,21 +30,23 @@
   std::uint32_t count = 0;
 };
 
-/// Hands out permits for requests to servers with a limit, at the holder of the order lease: one
-/// permit, one request.
+/// Grants permits for requests to rate-limited servers; runs on the holder of the order lease. Each
+/// permit allows one request.
 ///
-/// Load patterns: far more requests than a server takes, of many daemons, of which the most urgent
-/// should go there; a request now and then, at any daemon. Weighed: shares of the rate for each
-/// daemon, which need no talk, but with more daemons than requests a second most shares are of use
-/// to nobody, and each daemon's first request may come in the same second; a few daemons that send
-/// for all, which costs a hop for each request and a rule for who they are.
+/// Designed for two load patterns: many daemons with far more requests than the server accepts, of
+/// which the most urgent must be sent; and occasional requests at any daemon. Rejected
+/// alternatives:
+/// a fixed share of the rate for each daemon, which needs no messages, but with more daemons than
+/// requests per second most shares are useless, and the first requests of all daemons may come in
+/// the same second; a few daemons that send for all, which costs a hop per request and needs a rule
+/// to select them.
 ///
-/// Limits: a token bucket with the server's rate. Permits are void after PERMIT_VALID, so that what
-/// arrives in any window is what was handed out in a window that is no more than so much longer.
+/// Each server has a token bucket with the rate of its limit. Permits expire after PERMIT_VALID, so
+/// the requests that arrive in any window were granted in a window longer by at most that time.
 class PermitKeeper
 {
 public:
-  /// A new tenure: the buckets are empty, since what the keeper before has granted is not known.
+  /// Starts a new tenure with empty buckets, since the grants of the previous holder are unknown.
   void Begin();
   struct KnownLimit
   {
@@ -52,27 +54,27 @@
     RequestRate rate;
     Common::DataCentreId data_centre; ///< Of the server.
   };
-  /// The limits in force; of other servers nothing is kept.
+  /// Sets the current limits; the state of all other servers is dropped.
   void SetLimits(std::span<const KnownLimit> limits, Common::TimePoint now);
-  /// What a daemon wants now, in place of what it told before.
+  /// Replaces the permit demand of a daemon.
   void TakeWants(const Asker& asker, std::span<const PermitWant> wants, Common::TimePoint now);
-  /// Hands out what the buckets hold, to the most urgent first.
+  /// Grants all available permits, most urgent requests first.
   std::vector<Grant> HandOut(Common::TimePoint now);
-  /// When the next permit can be handed out that somebody waits for.
+  /// When the next permit that a daemon waits for can be granted.
   std::optional<Common::TimePoint> NextAt(Common::TimePoint now) const;
-  /// Requests that wait for a permit, over all daemons.
+  /// Requests waiting for a permit, over all daemons.
   std::uint32_t Waiting(ServerKey server, Common::TimePoint now) const;
-  /// Until the server's next permit is free, where nobody waits.
+  /// Time until the server's next permit is available, if no request waits.
   Common::Milliseconds FreeIn(ServerKey server, Common::TimePoint now) const;
-  /// Of these, the other daemons' that get theirs before the daemon's first.
+  /// Waiting requests of other daemons that are served before the first request of this daemon.
   std::uint32_t Ahead(const Common::VmId& vm, ServerKey server, Common::TimePoint now) const;
-  /// What the daemon may send to each server while it hears no holder.
+  /// The rates at which the daemon may send to each server while it hears no holder.
   std::vector<StandbyLine> StandbysOf(const Common::VmId& vm) const;
 
   struct Counters
   {
     std::int64_t granted = 0;
-    std::int64_t unused = 0; ///< Given back.
+    std::int64_t unused = 0; ///< Returned as expired.
   };
   const Counters& Totals() const { return m_totals; }
 
@@ -83,21 +85,21 @@
     Common::DataCentreId data_centre;
     Common::TimePoint told_at;
 
-    /// True where the daemon waits for a permit, as far as is known.
+    /// True if the daemon still waits for a permit, as far as is known.
     bool Waits(Common::TimePoint now) const;
     bool MayProbe(Common::TimePoint now) const;
-    /// When the first of its requests gives up.
+    /// When the first of its requests times out.
     Common::TimePoint GivesUpAt() const { return told_at + Common::Milliseconds(told.gives_up_ms); }
   };
   struct Bucket
   {
     RequestRate rate;
     Common::DataCentreId data_centre; ///< Of the server.
-    double level = 0;
+    double level = 0;                 ///< Available permits.
     Common::TimePoint filled_at;
-    std::optional<Common::TimePoint> granted_at; ///< The last permit.
-    /// When a daemon last told that it waits, or that it may probe: where that is long ago, or
-    /// nobody was found since, the wants need not be looked at.
+    std::optional<Common::TimePoint> granted_at; ///< Time of the last grant.
+    /// When a daemon last reported that it waits or that it may probe. If that is long ago, or a
+    /// search has found none since, `wants` need not be searched.
     std::optional<Common::TimePoint> wait_told_at;
     std::optional<Common::TimePoint> probe_told_at;
     std::map<Common::VmId, Want> wants;
@@ -108,20 +110,21 @@
     void Fill(Common::TimePoint now);
     bool MayHaveWaiting(Common::TimePoint now) const;
     bool MayHaveProbes(Common::TimePoint now) const;
-    /// When a permit may go to a daemon that only probes.
+    /// When a permit may be granted to a daemon that only probes.
     Common::TimePoint ProbeDueAt() const;
-    /// The want to serve next; end where there is none.
+    /// The entry to serve next; `wants.end()` if there is none.
     std::map<Common::VmId, Want>::iterator MostUrgent(Common::TimePoint now);
-    /// Daemons of the server's data centre come first: where that is cut off, they reach it still.
+    /// Prefers daemons in the server's data centre, which still reach it if that is cut off.
     void ChooseStandbys();
   };
 
   void TakeWant(const Asker& asker, const PermitWant& told, Common::TimePoint now);
-  /// Forgets daemons that have not asked for long.
+  /// Drops daemons that have not sent their demand for a long time.
   void ForgetSilent(Common::TimePoint now);
 
   std::map<ServerKey, Bucket> m_buckets;
-  std::map<Common::VmId, std::set<ServerKey>> m_wanted_by; ///< What each daemon told last.
+  /// Servers in the last message of each daemon.
+  std::map<Common::VmId, std::set<ServerKey>> m_wanted_by;
   Common::TimePoint m_looked_for_silent_at;
   Counters m_totals;
 };
--- a/Source/Core/RateLimits/RequestRate.cpp
+++ b/Source/Core/RateLimits/RequestRate.cpp
@@ -14,7 +14,7 @@
 {
 namespace
 {
-/// Requests a second; no server takes so many.
+/// Requests per second; no server accepts this many.
 constexpr double UNLIMITED_FROM = 1e6;
 } // namespace
 
@@ -32,7 +32,7 @@
     }
     if (*number >= UNLIMITED_FROM)
       continue;
-    // Rounded down: a server is never sent more than it names.
+    // Rounded down, so that a server never gets more than it states.
     const RequestRate rate(static_cast<std::int64_t>(std::floor(*number * THOUSANDTHS)));
     reading.rate = std::min(reading.rate.value_or(rate), rate);
   }
--- a/Source/Core/RateLimits/RequestRate.h
+++ b/Source/Core/RateLimits/RequestRate.h
@@ -11,11 +11,11 @@
 
 #include "Common/Units.h"
 
-/// Limits on the requests a second that a backend server takes from all daemons together, as the
-/// server itself names them in its answers. Everything here is pure: time is a parameter.
+/// Limits on the requests per second that a backend server accepts from all daemons together, as
+/// the server states them in its responses. All code here is deterministic: time is a parameter.
 namespace RateLimits
 {
-/// Requests a second, in thousandths.
+/// Requests per second, in thousandths.
 using RequestRate = Common::Quantity<struct RequestRateTag>;
 
 constexpr std::int64_t THOUSANDTHS = 1000;
@@ -25,18 +25,18 @@
   return static_cast<double>(rate.Get()) / THOUSANDTHS;
 }
 
-/// What one answer says of its server's limit.
+/// The limit stated in one response of a server.
 struct LimitReading
 {
-  bool readable = true;            ///< False where a value is not a decimal number.
-  std::optional<RequestRate> rate; ///< The lowest that is named; nothing where there is no limit.
-  std::string unreadable;          ///< The first value that is none.
+  bool readable = true;            ///< False if a value is not a decimal number.
+  std::optional<RequestRate> rate; ///< The lowest stated limit; nullopt if there is none.
+  std::string unreadable;          ///< The first value that is not a decimal number.
 };
 
-/// Reads the values of all limit headers of one answer. A rate beyond all that a server can take is
-/// the same as no limit.
+/// Parses the values of all limit headers of one response. A rate above what any server can handle
+/// counts as no limit.
 LimitReading ReadLimit(std::span<const std::string_view> values);
 
-/// For logs and dumps: "none" or requests a second.
+/// For logs and dumps: "none" or the requests per second.
 std::string Describe(std::optional<RequestRate> rate);
 } // namespace RateLimits
