--- a/Source/Core/RateLimits/LocalPermits.h
+++ b/Source/Core/RateLimits/LocalPermits.h
@@ -16,10 +16,11 @@
 {
 /// Decides whether this daemon may send a request to a rate-limited server now.
 ///
-/// Normally each request uses a permit granted by the holder of the order lease. While no holder is
-/// heard, the standbys that it last named share a fixed fraction of the limit. After a while, or if
-/// no holder was ever heard, all daemons share that fraction equally. These local token buckets
-/// start empty, so that all daemons together stay within the fraction, however many there are.
+/// Normally each request uses a permit granted by the holder of the order lease. While the holder
+/// is unreachable, the standbys that it last named share a fixed fraction of the limit. After a
+/// while, or if no holder was ever reached, all daemons share that fraction equally. These local
+/// token buckets start empty, so that all daemons together stay within the fraction, however many
+/// there are.
 class LocalPermits
 {
 public:
@@ -44,7 +45,7 @@
     std::int64_t granted = 0;
     std::int64_t used = 0;
     std::int64_t unused = 0;
-    std::int64_t without_holder = 0; ///< Requests sent while no holder was heard.
+    std::int64_t without_holder = 0; ///< Requests sent while the holder was unreachable.
   };
   const Counters& Totals() const { return m_totals; }
 
@@ -54,7 +55,7 @@
     std::vector<Common::TimePoint> valid_until; ///< Expiry of each permit.
     std::uint32_t unused = 0;
     std::optional<RequestRate> standby;
-    double own = 0; ///< Token bucket used while no holder is heard.
+    double own = 0; ///< Token bucket used while the holder is unreachable.
     Common::TimePoint filled_at;
   };
 
--- a/Source/Core/RateLimits/Messages.h
+++ b/Source/Core/RateLimits/Messages.h
@@ -128,7 +128,7 @@
   }
 };
 
-/// The rate at which a daemon may send to one server while it hears no holder.
+/// The rate at which a daemon may send to one server while it cannot reach the holder.
 struct StandbyLine
 {
   ServerKey server;
@@ -145,9 +145,9 @@
 /// later without a new request, from the grant.
 constexpr Common::Milliseconds PERMIT_VALID{500};
 
-/// Fraction of a server's limit that all daemons together may send while they hear no holder. Added
-/// to the permits of the next holder, which other daemons may already receive, the total stays
-/// within one and a half times the limit.
+/// Fraction of a server's limit that all daemons together may send while they cannot reach the
+/// holder. Added to the permits of the next holder, which other daemons may already receive, the
+/// total stays within one and a half times the limit.
 constexpr double UNHEARD_SHARE = 0.4;
 
 /// Minimum requests per second sent to a limited server, even if its limit is 0: a server announces
--- a/Source/Core/RateLimits/PermitKeeper.cpp
+++ b/Source/Core/RateLimits/PermitKeeper.cpp
@@ -31,7 +31,8 @@
 /// A daemon that has not sent its demand for this long is no longer a standby.
 constexpr Milliseconds STANDBY_ASKED_WITHIN{10000};
 constexpr Milliseconds LOOK_FOR_SILENT_EVERY{1000};
-/// Minimum requests per second of a standby: less is hardly useful before a new holder is heard.
+/// Minimum requests per second of a standby: less is hardly useful before the next holder takes
+/// over.
 constexpr double LEAST_STANDBY_FLOW = 0.25;
 /// Maximum time for which a bucket is refilled at once, after this process was suspended.
 constexpr Milliseconds LONGEST_FILL{1000};
--- a/Source/Core/RateLimits/PermitKeeper.h
+++ b/Source/Core/RateLimits/PermitKeeper.h
@@ -35,11 +35,10 @@
 ///
 /// Designed for two load patterns: many daemons with far more requests than the server accepts, of
 /// which the most urgent must be sent; and occasional requests at any daemon. Rejected
-/// alternatives:
-/// a fixed share of the rate for each daemon, which needs no messages, but with more daemons than
-/// requests per second most shares are useless, and the first requests of all daemons may come in
-/// the same second; a few daemons that send for all, which costs a hop per request and needs a rule
-/// to select them.
+/// alternatives: a fixed share of the rate for each daemon, which needs no messages, but with more
+/// daemons than requests per second most shares are useless, and the first requests of all daemons
+/// may come in the same second; a few daemons that send for all, which costs a hop per request and
+/// needs a rule to select them.
 ///
 /// Each server has a token bucket with the rate of its limit. Permits expire after PERMIT_VALID, so
 /// the requests that arrive in any window were granted in a window longer by at most that time.
@@ -68,7 +67,7 @@
   Common::Milliseconds FreeIn(ServerKey server, Common::TimePoint now) const;
   /// Waiting requests of other daemons that are served before the first request of this daemon.
   std::uint32_t Ahead(const Common::VmId& vm, ServerKey server, Common::TimePoint now) const;
-  /// The rates at which the daemon may send to each server while it hears no holder.
+  /// Rates at which the daemon may send to each server while it cannot reach the holder.
   std::vector<StandbyLine> StandbysOf(const Common::VmId& vm) const;
 
   struct Counters
--- a/Source/UnitTests/Decisions/PlanEquivalenceTest.cpp
+++ b/Source/UnitTests/Decisions/PlanEquivalenceTest.cpp
@@ -21,7 +21,7 @@
 
 std::string Name(const char* prefix, std::size_t index)
 {
-  // Of one length, so that names sort like positions.
+  // Zero-padded, so that names sort in the order of their indices.
   const std::string digits = std::to_string(index);
   return prefix + std::string(5 - digits.size(), '0') + digits;
 }
@@ -126,7 +126,8 @@
     CPPUNIT_ASSERT(orders > FLEETS);
   }
 
-  /// A fleet in which nothing runs and nothing is asked for but what waits.
+  /// A fleet whose models have no arrivals and no running requests: the waiting requests are the
+  /// only demand.
   static ReplicaPlanInput QuietFleet(const FleetSize& size, int store_loads)
   {
     pcg64 random(7);
@@ -140,8 +141,8 @@
     return input;
   }
 
-  /// Ten times the servers and models with the same requests waiting: about the same places are
-  /// weighed, since only servers with a copy are looked at.
+  /// With ten times the servers and models and the same waiting requests, the number of evaluated
+  /// candidates stays about the same, since only servers with a copy are considered.
   void WorkGrowsWithWhatWaits()
   {
     const auto candidates = [](const FleetSize& size, int store_loads) {
@@ -151,7 +152,7 @@
     const std::size_t for_large = candidates({2560, 13750, 100}, 0);
     CPPUNIT_ASSERT(for_small > 0);
     CPPUNIT_ASSERT(for_large < for_small * 2);
-    // 600 models by the few servers that have a copy, and 16 looks at all servers at most.
+    // 600 models times the few servers that have a copy, plus at most 16 scans of all servers.
     CPPUNIT_ASSERT(candidates({256, 1375, 600}, 2) < 600 * 12 + 16 * 256);
   }
 };
--- a/Source/UnitTests/Decisions/RandomFleet.cpp
+++ b/Source/UnitTests/Decisions/RandomFleet.cpp
@@ -88,7 +88,7 @@
     model.waiting = 1 + static_cast<int>(random() % 6);
     model.priority = static_cast<int>(random() % 3);
   }
-  // No two are alike urgent, so that the order of equals does not decide.
+  // All urgencies are distinct, so that the result does not depend on the order of ties.
   std::int64_t distinct = 0;
   for (PlannedModel& model : input.models)
     model.oldest_wait = Milliseconds((random() % 15) * 1000 + distinct++ % 1000);
--- a/Source/UnitTests/Decisions/RandomFleet.h
+++ b/Source/UnitTests/Decisions/RandomFleet.h
@@ -15,10 +15,11 @@
 {
   std::size_t servers = 1;
   std::size_t models = 1;
-  std::size_t waiting = 0; ///< Models that requests wait for.
+  std::size_t waiting = 0; ///< Models with waiting requests.
 };
 
-/// Servers with three places each, most of them taken and some in use, eighteen models on each disk
-/// and two in each memory, and requests that wait for some models: a moment of a loaded fleet.
+/// Generates a snapshot of a loaded fleet: servers with room for three models each, most of it
+/// taken and some models in use, eighteen models on each disk and two in each host memory, and
+/// requests that wait for some models.
 Decisions::ReplicaPlanInput RandomFleet(const FleetSize& size, pcg64& random);
 } // namespace UnitTests
--- a/Source/UnitTests/Decisions/ReconcileTest.cpp
+++ b/Source/UnitTests/Decisions/ReconcileTest.cpp
@@ -83,8 +83,8 @@
                    ReconcileAction::Free);
   }
 
-  /// Over all inputs: a claim whose artifact the engine reports in this incarnation, and whose
-  /// order may have been sent, is never freed.
+  /// Exhaustive over all inputs: a claim is never freed while the engine reports its artifact and
+  /// its order may have been sent.
   void NoStateIsEverFreedWhileTheArtifactIsThere()
   {
     for (int bits = 0; bits < 16; ++bits)
--- a/Source/UnitTests/Decisions/ReferencePlan.cpp
+++ b/Source/UnitTests/Decisions/ReferencePlan.cpp
@@ -14,30 +14,32 @@
 {
 using Common::Milliseconds;
 
-/// Of its batch, the part of a replica that requests may take before another replica is wanted:
-/// beyond it each token of all comes noticeably later, and a crash takes more requests along.
+/// Fraction of a replica's batch size that may be in use before another replica is wanted: above it
+/// the token latency of all requests rises noticeably, and a crash fails more requests.
 constexpr double COMFORTABLE_FILL = 0.25;
-/// A model that is asked for so often keeps a second replica, so that a crash does not stop it.
+/// Models with at least this arrival rate keep a second replica, so that a crash does not leave
+/// them unserved.
 constexpr double SPARE_REPLICA_ABOVE_PER_SECOND = 1.0;
-/// A replica that was wanted this lately is not given up for another model.
+/// A replica whose model was requested within this time is not evicted for another model.
 constexpr Milliseconds MIN_IDLE{400};
-/// A replica is kept at least so long after it was loaded: whoever waited for it gets its turn.
+/// Minimum time to keep a replica after its load, so that the requests that waited for it are
+/// served.
 constexpr Milliseconds MIN_STAY{600};
-/// A model that nobody holds and that is waited for so long may push out one that is in use: an
-/// unload waits for the runs of its model, so nothing is cut, and models take turns where there are
-/// more of them in use than places.
+/// A model without a replica whose requests have waited this long may evict a model in use. An
+/// unload waits for the running requests of its model, so none is interrupted, and models share the
+/// servers in turn if more are in use than fit.
 constexpr Milliseconds TURN_WAIT{900};
-/// A replica that is in use has its turn for at least so long.
+/// Minimum time to keep a replica in use before it may be evicted for a waiting model.
 constexpr Milliseconds MIN_TURN{1500};
-/// What one running request of the victim adds to the cost: the unload waits for it.
+/// Cost of each running request of an evicted replica: the unload waits for it.
 constexpr double VICTIM_RUN_COST_MS = 150;
-/// What an unload adds before the load can begin; measured on the users' bench.
+/// Delay that an unload adds before the load can start.
 constexpr Milliseconds UNLOAD_TIME{120};
-/// What one running request adds to the cost of loading on its server: the load and the requests
-/// slow each other.
+/// Cost of loading on a server for each request running there: the load and the requests slow each
+/// other down.
 constexpr double COST_PER_RUNNING_MS = 8;
 
-/// A place for a model on a server, perhaps after another model is given up.
+/// A server on which a model can be loaded, possibly after evicting another model.
 struct Candidate
 {
   const PlannedServer* server = nullptr;
@@ -95,7 +97,7 @@
   }
 
 private:
-  /// Models that lack a replica, the most urgent first.
+  /// Models with fewer replicas than wanted, most urgent first.
   std::vector<const PlannedModel*> ByUrgency() const
   {
     std::vector<const PlannedModel*> lacking;
@@ -109,8 +111,8 @@
     return lacking;
   }
 
-  /// Many requests that wait for one load go before one; rank and age count beside the number, so
-  /// that nobody waits for ever.
+  /// Models with more waiting requests come first. Priority and waiting time also count, so that no
+  /// model starves.
   static double Urgency(const PlannedModel& model)
   {
     const double rank = 1 + 1.0 / (1 + model.priority);
@@ -144,7 +146,7 @@
 
   void PlaceModel(const PlannedModel& model)
   {
-    // A replica beyond the first is worth a load from disk, not one from the weight store.
+    // Additional replicas are loaded only from disk or host memory, not from the weight store.
     const bool unserved = Unserved(model);
     const bool store_allowed = unserved && m_store_left > 0 && !MayWaitForDisk(model);
     std::optional<Candidate> best;
@@ -153,7 +155,7 @@
       const auto candidate = CandidateOn(server, model);
       if (!candidate || (candidate->source == WeightSource::WeightStore && !store_allowed))
         continue;
-      // A spare replica must not push out a model that is about as much in demand.
+      // An additional replica must not evict models with a comparable arrival rate.
       if (!unserved && candidate->victim_value * 2 >= model.arrivals_per_second)
         continue;
       if (!best || candidate->cost_ms < best->cost_ms)
@@ -163,9 +165,9 @@
       Give(*best, model);
   }
 
-  /// True where the weights lie at a server that takes orders, though perhaps not at this moment,
-  /// and the wait so far is shorter than what a load from there saves. A load from the weight store
-  /// would keep another server from orders for its whole time.
+  /// True if a usable server has a copy of the weights, even if it is busy now, and the wait so far
+  /// is shorter than the time that a load from there saves. A load from the weight store would
+  /// block orders to another server for its whole duration.
   bool MayWaitForDisk(const PlannedModel& model) const
   {
     const bool lies_near = std::ranges::any_of(m_input.servers, [&](const PlannedServer& server) {
@@ -198,8 +200,8 @@
       return std::nullopt;
     candidate.cost_ms += VICTIM_RUN_COST_MS * candidate.victim->in_flight;
     candidate.victim_value = Value(candidate.victim->model);
-    // A victim that is asked for often has to come back soon: half a load for each second's
-    // request.
+    // An evicted model with a high arrival rate must soon be loaded again: each arrival per second
+    // costs half a load.
     candidate.cost_ms += static_cast<double>(UNLOAD_TIME.count()) + candidate.victim_value * 1000;
     return candidate;
   }
@@ -224,7 +226,7 @@
     return server.memory_mb - used;
   }
 
-  /// Arrivals a second that a replica of the model serves; the last replica serves them all.
+  /// Arrivals per second that one replica of the model serves; a single replica serves them all.
   double Value(const std::string& name) const
   {
     const auto found = m_input.models.find(name);
@@ -252,8 +254,8 @@
     return Replicas(model) > Wanted(model) || Wanted(model) <= 1;
   }
 
-  /// True where a replica in use may make way for a model that waits: it has had its turn, and its
-  /// model is not in more demand.
+  /// True if a replica in use may be evicted for a waiting model: it has been loaded for long
+  /// enough, and its model is not in higher demand.
   bool MayGiveItsTurn(const PlannedServer& server, const PlannedReplica& replica,
                       const PlannedModel& waiting) const
   {
--- a/Source/UnitTests/Decisions/ReferencePlan.h
+++ b/Source/UnitTests/Decisions/ReferencePlan.h
@@ -10,11 +10,11 @@
 
 #include "Common/Units.h"
 
-/// The plan in its first form, by names, which looks at all servers for each model: the reference
-/// that the present form is compared with.
+/// The first version of the planner, which identifies models and servers by name and scans all
+/// servers for each model. The current planner is compared with it.
 namespace ReferencePlan
 {
-/// Where the weights of a model lie, seen from one server; loading takes longer down the list.
+/// Where a server can load the weights of a model from, fastest first.
 enum class WeightSource
 {
   HostMemory,
@@ -29,19 +29,19 @@
   Common::Milliseconds from_host_memory{0};
   Common::Milliseconds from_disk{0};
   Common::Milliseconds from_store{0};
-  int waiting = 0;  ///< Requests that wait for it, over all daemons.
-  int priority = 9; ///< Of the most urgent that waits.
+  int waiting = 0;  ///< Requests waiting for it, over all daemons.
+  int priority = 9; ///< Of the most urgent waiting request.
   Common::Milliseconds oldest_wait{0};
   double arrivals_per_second = 0;
   int in_flight = 0;             ///< Over all servers.
-  Common::TimePoint last_wanted; ///< By any request.
+  Common::TimePoint last_wanted; ///< Time of the last request for it.
 };
 
 struct PlannedReplica
 {
   std::string model;
   int in_flight = 0;
-  Common::TimePoint since; ///< When it was seen loaded first.
+  Common::TimePoint since; ///< When it was first seen as loaded.
 };
 
 struct PlannedServer
@@ -49,10 +49,10 @@
   std::string instance;
   std::string data_centre;
   double memory_mb = 0;
-  double adapters_mb = 0; ///< Taken by adapters.
-  bool usable = true;     ///< Takes work and orders.
+  double adapters_mb = 0; ///< Memory used by adapters.
+  bool usable = true;     ///< Accepts requests and orders.
   bool order_open = false;
-  std::optional<std::string> loading; ///< On its way, or next after an unload.
+  std::optional<std::string> loading; ///< Being loaded, or next after an unload.
   int in_flight = 0;
   int batch = 1;
   std::vector<PlannedReplica> replicas;
@@ -60,7 +60,7 @@
   std::vector<std::string> on_disk;
 };
 
-/// One order to one server.
+/// An order to a server.
 struct PlannedOrder
 {
   enum class Kind
@@ -71,8 +71,8 @@
   Kind kind = Kind::Load;
   std::string instance;
   std::string model;
-  std::string for_model; ///< Of an unload: what is loaded next on that server.
-  WeightSource source = WeightSource::WeightStore; ///< Of the load that is given or comes next.
+  std::string for_model; ///< Of an unload: the model that is loaded afterwards.
+  WeightSource source = WeightSource::WeightStore; ///< Of this load or of the one that follows.
   std::string reason;
 };
 
@@ -81,12 +81,12 @@
   Common::TimePoint now;
   std::vector<PlannedServer> servers;
   std::map<std::string, PlannedModel> models;
-  int store_loads_allowed = 0; ///< Loads from the weight store that may begin now.
+  int store_loads_allowed = 0; ///< Loads from the weight store that may start now.
 };
 
-/// The orders to give now, at most one a server.
+/// Returns the orders to send now, at most one per server.
 std::vector<PlannedOrder> PlanReplicas(const ReplicaPlanInput& input);
 
-/// How many replicas of a model the demand asks for.
+/// The number of replicas that the demand for a model calls for.
 int WantedReplicas(const PlannedModel& model, int batch);
 } // namespace ReferencePlan
--- a/Source/UnitTests/Decisions/Replays/Fleet.cpp
+++ b/Source/UnitTests/Decisions/Replays/Fleet.cpp
@@ -56,7 +56,7 @@
                                   : MODEL_MB * static_cast<double>(m_settings.places);
 }
 
-/// Models stand on one server each, in turn, as far as there is room.
+/// Loads each model on one server, in round-robin order, if it has room.
 void Fleet::PlaceAtStart()
 {
   std::vector<double> free(m_servers.size(), ServerMemory());
@@ -144,7 +144,7 @@
     Order& order = *server.order;
     if (!order.unloads.empty())
     {
-      // An unload waits for the model's runs.
+      // An unload waits for the running requests of its model.
       const std::size_t leaving = order.unloads.front();
       if (IsRunning(server, leaving) || order.done_at > m_now)
         continue;
--- a/Source/UnitTests/Decisions/Replays/Fleet.h
+++ b/Source/UnitTests/Decisions/Replays/Fleet.h
@@ -13,11 +13,11 @@
 #include "Decisions/ReplicaPlan.h"
 #include "Decisions/UnservedDemand.h"
 
-/// Loads replayed in virtual time against the decisions: a simple model of backend servers, without
+/// Simulates a request load on backend servers in virtual time to test the planner, without
 /// sockets, clocks or daemons.
 namespace UnitTests
 {
-/// A kind of requests: all for one model, or evenly for a range of models.
+/// A stream of requests for one model, or evenly distributed over a range of models.
 struct Stream
 {
   std::size_t first_model = 0;
@@ -25,17 +25,17 @@
   double per_second = 1;
   Common::Milliseconds from{0};
   Common::Milliseconds until{0};
-  Common::Milliseconds target{0}; ///< From the arrival to the start at a server.
+  Common::Milliseconds target{0}; ///< Maximum time from arrival to start on a server.
   int priority = 0;
 };
 
-/// What became of one stream's requests.
+/// The results of the requests of one stream.
 struct StreamResult
 {
   int asked = 0;
   int in_target = 0;
   int late = 0;     ///< Started after the target.
-  int unserved = 0; ///< Still waiting at the end, or given up.
+  int unserved = 0; ///< Timed out, or still waiting at the end.
 
   int Served() const { return in_target + late; }
 
@@ -46,11 +46,11 @@
 {
   std::size_t servers = 24;
   std::size_t models = 100;
-  std::size_t places = 3; ///< Models that a server holds at once.
+  std::size_t places = 3; ///< Models that fit on a server at the same time.
   std::size_t on_disk = 18;
-  double server_mb = 0;          ///< For models; 0: as many as there are places.
-  std::vector<double> models_mb; ///< Of each model; empty: all alike.
-  /// Models on the disk of each server; empty: drawn.
+  double server_mb = 0;          ///< Memory for models; 0: enough for `places` models.
+  std::vector<double> models_mb; ///< Memory of each model; empty: all the same.
+  /// Models on the disk of each server; empty: chosen at random.
   std::vector<std::vector<std::size_t>> disks;
   int batch = 12;
   Common::Milliseconds run_time{1500}; ///< Of one request.
@@ -58,17 +58,17 @@
   Common::Milliseconds from_disk{640};
   Common::Milliseconds from_store{13200};
   int store_loads_at_once = 2;
-  Common::Milliseconds patience{5600}; ///< A request that waits longer is given up.
+  Common::Milliseconds patience{5600}; ///< A request that waits longer times out.
   Common::Milliseconds plan_every{20};
 };
 
-/// Servers that carry out the planner's orders and run requests, step by step.
+/// Simulated servers that execute the planner's orders and run requests, in fixed time steps.
 class Fleet
 {
 public:
   Fleet(const FleetSettings& settings, std::uint64_t seed);
 
-  /// Plays the streams until `end`; one result a stream.
+  /// Simulates the streams until `end`; returns one result per stream.
   std::vector<StreamResult> Play(const std::vector<Stream>& streams, Common::Milliseconds end);
 
 private:
@@ -81,7 +81,7 @@
   struct Order
   {
     Common::Milliseconds done_at{0};
-    std::vector<std::size_t> unloads; ///< Each waits for its model's runs first.
+    std::vector<std::size_t> unloads; ///< Each waits for the running requests of its model.
     std::size_t loads = 0;
     Common::Milliseconds load_time{0};
     bool from_store = false;
@@ -93,7 +93,7 @@
   };
   struct Server
   {
-    std::vector<std::pair<std::size_t, Common::Milliseconds>> holds; ///< Since when.
+    std::vector<std::pair<std::size_t, Common::Milliseconds>> holds; ///< Models and load times.
     std::vector<Run> runs;
     std::optional<Order> order;
   };
@@ -116,7 +116,7 @@
   Common::Milliseconds m_now{0};
   std::vector<Server> m_servers;
   std::deque<Request> m_waiting;
-  std::vector<double> m_rates; ///< Arrivals a second by model, smoothed.
+  std::vector<double> m_rates; ///< Smoothed arrivals per second by model.
   std::vector<Common::Milliseconds> m_last_wanted;
   std::vector<Decisions::UnservedDemand> m_unserved;
   Decisions::ReplicaPlanInput m_input;
--- a/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
+++ b/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
@@ -1,13 +1,13 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// All requests for one model were refused for half a minute and more, 880 to 2,839 of them, while
-// the only server with a copy of its weights was given order after order for other models. The
-// model needed 72,700 MB; that server's memory was full of smaller ones, none of which made room
-// alone: "model-passed-over obstacle=no_room waiting=30 oldest_wait_ms=1857 free_mb=272
-// needed_mb=72700". A load from the weight store to any other server was to follow once a request
-// had waited for 5.5 s. Callers leave a silent stream earlier, so no request ever had, and
-// neither a change of the holder nor a restart of all daemons changed that.
+// Guards against models that are never loaded: all 880 to 2,839 requests for one model were refused
+// for half a minute or more, while the only server with a copy of its weights executed orders for
+// other models. The model needed 72,700 MB, and no single eviction on that server freed enough:
+// "model-passed-over obstacle=no_room waiting=30 oldest_wait_ms=1857 free_mb=272 needed_mb=72700".
+// A load from the weight store to another server required a request that had waited for 5.5 s, but
+// callers leave a silent stream earlier. Neither a change of the holder nor a restart of all
+// daemons helped.
 
 #include <cstddef>
 #include <numeric>
@@ -26,7 +26,7 @@
 using UnitTests::Stream;
 using UnitTests::StreamResult;
 
-/// Callers leave, or are refused, after so long; a load from the weight store takes longer.
+/// Requests time out after this time, which is shorter than a load from the weight store.
 constexpr Milliseconds PATIENCE{1680};
 
 std::string Text(const StreamResult& result)
@@ -55,8 +55,8 @@
   CPPUNIT_TEST(ADiskCopyWhoseServerIsNeverFree);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Load: eight models of 34 to 66 GB are asked for in turn and fill the one server with copies of
-  /// them all; from 10 s on most requests want a ninth one of 73 GB.
+  /// Eight models of 34 to 66 GB are requested alternately and fill the only server, which has
+  /// copies of all models. From 10 s on, most requests are for a ninth model of 73 GB.
   void ALargeModelAmongSmallerOnes()
   {
     FleetSettings settings = ImpatientFleet();
@@ -78,9 +78,8 @@
     }
   }
 
-  /// Load: the server with the only copy holds three models that are in use without a pause; a
-  /// second server is idle, without a copy. From 5 s on a fourth model
-  /// is asked for.
+  /// The server with the only copy of a fourth model has three models loaded that are in continuous
+  /// use. A second server is idle and has no copy. The fourth model is requested from 5 s on.
   void ADiskCopyWhoseServerIsNeverFree()
   {
     FleetSettings settings = ImpatientFleet();
@@ -95,7 +94,7 @@
       streams.push_back(
           {in_use, 1, 100, Milliseconds(0), Milliseconds(35000), Milliseconds(2000), 0});
     const auto results = Fleet(settings, 1).Play(streams, Milliseconds(37000));
-    // Some 5.5 s in vain and 6.1 s of loading go before.
+    // The first 11.6 s are unserved: about 5.5 s until the load is ordered and 6.1 s of loading.
     CPPUNIT_ASSERT_MESSAGE(Text(results[0]), results[0].Served() > results[0].asked / 2);
   }
 };
--- a/Source/UnitTests/Decisions/Replays/WorstLoadTest.cpp
+++ b/Source/UnitTests/Decisions/Replays/WorstLoadTest.cpp
@@ -18,7 +18,7 @@
 
 constexpr int SEEDS = 8;
 
-/// The results of all seeds together.
+/// Sums the results of all seeds.
 std::vector<StreamResult> PlaySeeds(const FleetSettings& settings,
                                     const std::vector<Stream>& streams, Milliseconds end)
 {
@@ -54,8 +54,8 @@
   CPPUNIT_TEST(ManyRareModelsInABurst);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Load: at 2 s demand moves to four models with one replica each, 14 requests a second for each;
-  /// meanwhile 300 rare models are asked for, most of them held by nobody.
+  /// At 2 s demand shifts to four models with one replica each, at 14 requests per second each.
+  /// Meanwhile 300 other models are requested rarely, most of which are not loaded.
   void DemandJumpsToModelsWithOneReplica()
   {
     FleetSettings settings;
@@ -74,13 +74,14 @@
       busy_asked += results[model].asked;
       busy_in_target += results[model].in_target;
     }
-    // 67 and 94 of 100; what is missing of the busy models has one disk copy or none.
+    // The planner achieves 67% and 94%. The busy models that miss the target have at most one copy
+    // on disk.
     CPPUNIT_ASSERT_MESSAGE(Text(results), busy_in_target > busy_asked * 0.6);
     CPPUNIT_ASSERT_MESSAGE(Text(results), results.back().ShareInTarget() > 0.9);
   }
 
-  /// Load: each of 260 models is asked for once in eight seconds, and for four seconds 2.4 times as
-  /// often; 48 servers have 144 places.
+  /// Each of 260 models is requested once in eight seconds, and 2.4 times as often for four
+  /// seconds; 48 servers have room for 144 models.
   void ManyRareModelsInABurst()
   {
     FleetSettings settings;
@@ -91,7 +92,8 @@
                   {{0, 260, 32, Milliseconds(0), Milliseconds(14000), Milliseconds(2000), 2},
                    {0, 260, 45, Milliseconds(4000), Milliseconds(8000), Milliseconds(2000), 2}},
                   Milliseconds(20000));
-    // 97 and 96 of 100; of what is missing all but 20 requests want models that are on no disk.
+    // The planner achieves 97% and 96%. All but 20 of the other requests are for models that are on
+    // no disk.
     CPPUNIT_ASSERT_MESSAGE(Text(results), results[0].ShareInTarget() > 0.94);
     CPPUNIT_ASSERT_MESSAGE(Text(results), results[1].ShareInTarget() > 0.93);
   }
--- a/Source/UnitTests/Decisions/ReplicaPlanTest.cpp
+++ b/Source/UnitTests/Decisions/ReplicaPlanTest.cpp
@@ -21,7 +21,7 @@
 
 const auto NOW = Common::TimePoint() + std::chrono::hours(1);
 
-/// A model or a server under the name that the tests give it.
+/// A model or a server with the name that the tests use for it.
 template <typename T>
 struct Named : T
 {
@@ -39,12 +39,12 @@
 
 struct NamedServer : Named<PlannedServer>
 {
-  std::vector<NamedReplica> replicas; ///< In place of the positions.
+  std::vector<NamedReplica> replicas; ///< Instead of those with indices.
   std::optional<std::string> loading;
   std::vector<std::string> on_disk;
 };
 
-/// An order by names.
+/// An order with names instead of indices.
 struct NamedOrder
 {
   PlannedOrder::Kind kind = PlannedOrder::Kind::Load;
@@ -95,7 +95,7 @@
   return input;
 }
 
-/// The plan by names; a model that only a server names is not listed.
+/// Plans with names instead of indices. Models that only a server names are not listed.
 std::vector<NamedOrder> PlanReplicas(const NamedInput& named)
 {
   ReplicaPlanInput input;
@@ -279,11 +279,11 @@
         PlanReplicas(Input({loading, Server("t", {"a"})}, {Model("a"), Model("c", 1)})).empty());
   }
 
-  /// Symptom: 13 of 206 requests were refused for want of a server after faults that had ended,
-  /// with as many models in use as there are places (soak, seed 325).
-  /// Sequence: requests wait for a model that nobody holds; its first replica is ordered; in the
-  /// next plan, 3 ms later, the model still counts as held by nobody, so a second replica pushes
-  /// out a model in use; that one is waited for next, and so on without rest.
+  /// Guards against continuous evictions: after faults that had ended, 13 of 206 requests were
+  /// refused with as many models in use as fit on the servers (soak, seed 325). The first replica
+  /// of a waiting model was ordered. The next plan, 3 ms later, did not count that pending load and
+  /// evicted a model in use for a second replica. Requests then waited for the evicted model, and
+  /// so on.
   void ASecondReplicaPushesOutNothingInUse()
   {
     NamedServer loading = Server("s", {"a"});
@@ -334,10 +334,10 @@
     CPPUNIT_ASSERT(PlanReplicas(input).empty());
   }
 
-  /// Symptom: a model of 72,700 MB was never loaded, though requests waited for it all day and the
-  /// one server with its weights was free for orders again and again.
-  /// Cause: one order gave up one model. On a server of 200 GB with 65,100, 65,500, 34,300 and
-  /// 34,300 MB in use, "free_mb=272 needed_mb=72700", no single one makes room.
+  /// Guards against a model of 72,700 MB that was never loaded, although requests waited for it all
+  /// day and the only server with its weights was repeatedly free for orders. An order evicted only
+  /// one model. On a server of 200 GB with models of 65,100, 65,500, 34,300 and 34,300 MB
+  /// ("free_mb=272 needed_mb=72700") no single eviction frees enough memory.
   void SeveralModelsMakeRoomForALargeOne()
   {
     NamedServer server = Server("s", {"a", "b", "c", "d"});
@@ -356,7 +356,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), orders.size());
     CPPUNIT_ASSERT(orders[0].kind == PlannedOrder::Kind::Unload);
     CPPUNIT_ASSERT_EQUAL(std::string("large"), orders[0].for_model);
-    // The least wanted for their memory; a and d stay.
+    // The models with the lowest arrival rate for their memory; a and d stay.
     CPPUNIT_ASSERT_EQUAL(std::string("c"), orders[0].model);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), orders[0].also_unload.size());
     CPPUNIT_ASSERT_EQUAL(std::string("b"), orders[0].also_unload[0]);
--- a/Source/UnitTests/RateLimits/LimitBookTest.cpp
+++ b/Source/UnitTests/RateLimits/LimitBookTest.cpp
@@ -39,7 +39,7 @@
 
   void Pass(Milliseconds span) { m_now += span; }
 
-  /// All that the holder knows reaches the daemon.
+  /// Delivers all limits that the holder knows to the daemon.
   void Tell(LimitBook& holder, std::int64_t tenure, LimitBook& daemon)
   {
     daemon.TakeNews(tenure, holder.NextNews(ALL_LINES, m_now), m_now);
@@ -100,7 +100,7 @@
     Tell(holder, 1, reader);
     CPPUNIT_ASSERT(other.InForce(SERVER) == RequestRate(1000));
     CPPUNIT_ASSERT(reader.Unconfirmed(m_now).empty());
-    // The other one reads that it has ended.
+    // The other daemon reads that the limit has ended.
     const auto sent = m_now + Milliseconds(1);
     Pass(Milliseconds(20));
     other.NoteAnswer(SERVER, NONE, sent, m_now);
@@ -109,7 +109,7 @@
     CPPUNIT_ASSERT(!reader.InForce(SERVER));
   }
 
-  /// Two answers are in flight, of which one names a limit and the other none.
+  /// Two responses are in flight; one states a limit and the other none.
   void AnEndThatIsOlderThanTheLimitIsPassedOver()
   {
     LimitBook holder;
@@ -122,8 +122,8 @@
     Tell(holder, 1, second);
     Pass(Milliseconds(10));
     const auto sent = m_now;
-    // The first reads 1 a second, and the holder knows; the second read before that that there is
-    // no limit, and its message comes later.
+    // The first daemon reads 1 per second, and the holder learns it. The second daemon read before
+    // that there is no limit, but its message arrives later.
     Pass(Milliseconds(10));
     second.NoteAnswer(SERVER, NONE, sent, m_now);
     const auto late = second.Unconfirmed(m_now);
@@ -160,7 +160,7 @@
     first.BeginTenure(1);
     first.NoteAnswer(SERVER, Named(1), m_now, m_now);
     Tell(first, 1, daemon);
-    // The second was started just now.
+    // The second has just started.
     second.BeginTenure(2);
     Tell(second, 2, daemon);
     CPPUNIT_ASSERT(daemon.InForce(SERVER) == RequestRate(1000));
@@ -200,7 +200,7 @@
       daemon.TakeNews(1, holder.NextNews(PART, m_now), m_now);
     for (int i = 0; i < SERVERS; ++i)
       CPPUNIT_ASSERT(daemon.InForce(ServerKey(i * 3)));
-    // A part tells nothing of the others.
+    // A part does not affect limits outside its range.
     for (int part = 0; part < 9; ++part)
     {
       CPPUNIT_ASSERT(daemon.TakeNews(1, holder.NextNews(PART, m_now), m_now).empty());
@@ -208,7 +208,7 @@
     }
   }
 
-  /// A daemon that heard nothing for longer than the holder tells of an end.
+  /// A daemon received no updates for longer than the holder announces the end of a limit.
   void ALimitThatAnotherLineWasLostForEndsInTheEnd()
   {
     LimitBook holder;
--- a/Source/UnitTests/RateLimits/PermitReplayTest.cpp
+++ b/Source/UnitTests/RateLimits/PermitReplayTest.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Daemons before one server with a limit that is asked for several times as much, in virtual time.
-// Messages are delayed, lost and doubled; the holder is cut off and replaced, daemons are suspended
-// and start again. Three ways to divide the limit, by what the server gets in the worst window and
-// by what is served.
+// Simulates, in virtual time, daemons that send to one rate-limited server with several times as
+// many requests as its limit. Messages are delayed, lost and duplicated; the holder is cut off and
+// replaced; daemons are suspended and restarted. Compares three ways to divide the limit among the
+// daemons by the requests in the worst window and by the requests served.
 
 #include <algorithm>
 #include <cstdint>
@@ -44,12 +44,12 @@
 {
   std::size_t daemons = 6;
   double rate = 1;
-  double demand = 4; ///< Requests a second.
+  double demand = 4; ///< Requests per second.
   Milliseconds length{60000};
   bool faults = false;
 };
 
-/// What the server saw and the callers got.
+/// The requests that callers made and those that arrived at the server.
 struct Outcome
 {
   std::int64_t asked = 0;
@@ -77,7 +77,7 @@
   return static_cast<std::size_t>(1.5 * 4 * rate + 5);
 }
 
-/// Time, messages and faults that all ways share.
+/// Simulated time, messages and faults; the same for all ways to divide the limit.
 class World
 {
 public:
@@ -97,7 +97,7 @@
   bool Runs(std::size_t daemon) const { return now >= m_suspended[daemon]; }
   void Suspend(std::size_t daemon, Milliseconds span) { m_suspended[daemon] = now + span; }
 
-  /// Messages of daemons that do not run wait in their sockets.
+  /// Delivers due messages. Messages to a suspended daemon wait until it resumes.
   void Deliver()
   {
     while (!m_messages.empty() && m_messages.begin()->first <= now)
@@ -139,7 +139,7 @@
   way.Restart(daemon);
 };
 
-/// Permits of one keeper, as in the product.
+/// Permits granted by one holder: the implementation in use.
 class LeasedPermits
 {
 public:
@@ -198,7 +198,7 @@
     TimePoint next_ask;
     std::uint64_t sequence = 0;
     std::map<std::uint64_t, TimePoint> asked_at;
-    std::pair<int, std::uint64_t> last_reply; ///< Tenure and number.
+    std::pair<int, std::uint64_t> last_reply; ///< Tenure and reply number.
   };
   struct Peer
   {
@@ -271,7 +271,7 @@
   std::optional<TimePoint> m_keeper_back_at;
 };
 
-/// Each daemon has an equal share of the rate, and a burst of one request.
+/// Each daemon has a token bucket with an equal share of the rate and a burst of one request.
 class EqualShares
 {
 public:
@@ -303,8 +303,8 @@
   std::vector<Bucket> m_buckets;
 };
 
-/// One daemon sends for all, the first of the living by each daemon's own view; it keeps the whole
-/// rate. Where a data centre is cut off, each side has one.
+/// One daemon sends for all at the full rate: the first live one in the view of each daemon. If a
+/// data centre is cut off, each side has such a sender.
 class OneSender
 {
 public:
@@ -343,7 +343,7 @@
   World world(load, seed);
   Way way(world);
   std::vector<std::deque<TimePoint>> waiting(load.daemons);
-  std::set<std::size_t> active; ///< Daemons with waiting requests, now or a step before.
+  std::set<std::size_t> active; ///< Daemons with waiting requests, now or one step before.
   double due = 0;
   auto next_fault = world.begin + Milliseconds(5000);
   for (const auto end = world.begin + load.length; world.now < end; world.now += STEP)
--- a/Source/UnitTests/RateLimits/PermitsTest.cpp
+++ b/Source/UnitTests/RateLimits/PermitsTest.cpp
@@ -182,7 +182,7 @@
     CPPUNIT_ASSERT_EQUAL(0U, permits.TakeUnused(SERVER, m_now));
   }
 
-  /// How many requests go out within `span`, where there is always one.
+  /// Number of requests sent within `span` if one is always waiting.
   int SendFor(LocalPermits& permits, double rate, Milliseconds span)
   {
     int sent = 0;
@@ -235,7 +235,7 @@
     Want(keeper, "near", Waiting(1), "a");
     CPPUNIT_ASSERT(keeper.StandbysOf(VmId("far")).empty());
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), keeper.StandbysOf(VmId("near")).size());
-    // It stays one, whoever else asks.
+    // It remains a standby when other daemons ask.
     Want(keeper, "also-near", Waiting(1), "a");
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), keeper.StandbysOf(VmId("near")).size());
     CPPUNIT_ASSERT(keeper.StandbysOf(VmId("also-near")).empty());
