--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -20,17 +20,17 @@
 {
 using Common::Milliseconds;
 
-/// While requests wait, pauses of servers run out without an event: so often they are looked at.
+/// How often waiting requests are retried: a server's backoff or ejection ends without an event.
 constexpr Milliseconds PUMP_INTERVAL{40};
-/// Accounts with figures of their own in the metrics; those of the rest are added up.
+/// Accounts that get their own gauges, the largest first; the others are summed up.
 constexpr std::size_t MAX_ACCOUNT_SERIES = 20;
-/// So often requests that wait for units of their account's limit are looked at.
+/// How often requests that wait for units of their account's limit are retried.
 constexpr Milliseconds ALLOWANCE_INTERVAL{50};
-/// Requests at once on a server without a model engine, in its slots: a few wait there, so that a
-/// slot that frees itself is taken at once.
+/// Concurrent requests per slot of a server without a model engine: some queue at the server, so
+/// that a slot that becomes free is used immediately.
 constexpr int PLAIN_SLOTS_FACTOR = 2;
 
-/// The lowest is served first.
+/// The sort key of waiting requests; the lowest is served first.
 auto RankOf(const Relay& relay)
 {
   return std::tuple(relay.Priority(), relay.MatchedRoute().priority, relay.ArrivedAt());
@@ -163,7 +163,7 @@
   {
     if (!IsEligible(relay, *server, now))
       continue;
-    // Of those that wait for the server, the first is served first.
+    // During the slow start after a Retry-After, new requests do not overtake waiting ones.
     if (server->GetBackoff().IsSlowStart() && IsOvertaking(relay))
       continue;
     const bool may_send = m_limited.MaySend(*server, now);
@@ -177,7 +177,8 @@
     if (server->Limit() && may_send)
       permitted.push_back(server);
   }
-  // A permit that is not used soon is lost, and only an answer tells that a limit has ended.
+  // Limited servers come first: a permit expires if it is not used soon, and only a response shows
+  // that a limit has ended.
   if (ServerPtr chosen = ChooseAmong(permitted, relay))
     return chosen;
   if (ServerPtr chosen = ChooseAmong(unlimited, relay))
@@ -233,7 +234,7 @@
       continue;
     const bool holds = model.Empty() || server->HoldsModel(model);
     const bool must_wait = server->Limit() || server->GetBackoff().IsNamed(now);
-    // Who holds it serves it sooner or later, also where it is full now.
+    // A server that holds the model will get to the request, even if it has no free slot now.
     if (holds && !must_wait)
       return std::nullopt;
     if (holds)
@@ -251,7 +252,7 @@
   if (spec == nullptr)
     return std::nullopt;
   const auto until = Decisions::RefusedUntil(load);
-  return until ? std::optional(EarlyRefusal{*until, "its weights would come too late"})
+  return until ? std::optional(EarlyRefusal{*until, "the model's weights would load too late"})
                : std::nullopt;
 }
 
@@ -405,7 +406,7 @@
 
 void Dispatcher::RequestAllowance()
 {
-  // Units may also flow in without a word from the holder.
+  // Units may also become available without a grant of the lease holder.
   if (!m_allowance_timer.Running())
     m_allowance_timer.Start(ALLOWANCE_INTERVAL, [this] {
       TryAllowances();
--- a/Source/Core/Gateway/Dispatcher.h
+++ b/Source/Core/Gateway/Dispatcher.h
@@ -29,23 +29,24 @@
 
 namespace Gateway
 {
-/// Waiting and running requests for one artifact at this daemon.
+/// Requests for one artifact that wait at this daemon, and how many have arrived recently.
 struct ArtifactDemand
 {
   PoolId pool;
   Artifact artifact;
   int waiting = 0;
-  int priority = 9; ///< The most urgent of those that wait.
+  int priority = 9; ///< Of the most urgent waiting request.
   Common::Milliseconds oldest_wait{0};
-  int arrivals = 0; ///< Since the demand was last taken.
+  int arrivals = 0; ///< Since the previous call of TakeDemand().
 };
 
-/// The call whose answer tells something of its server.
+/// The call whose response carried signals about its server.
 struct SignalOrigin
 {
-  std::string_view request; ///< Its id, or what else was asked.
+  std::string_view request; ///< Request id, or the kind of call if it was not a request.
   Common::TimePoint sent_at;
-  /// A request, whose answer names all that holds. Answers to orders and reports may leave it out.
+  /// True for a proxied request: a header that is missing from its response means that the
+  /// condition does not hold. Responses to orders and reports may omit headers.
   bool is_request = true;
 };
 
@@ -54,28 +55,28 @@
   Common::DataCentreId data_centre; ///< Of this daemon.
   HeaderNames names;
   RetryBudgetSettings budget;
-  /// How long a key that was taken away may still be used; nothing where that is not bounded.
+  /// How long a revoked key may still be accepted; no value: unbounded.
   std::optional<Common::Milliseconds> key_limit;
   Accounts::UsageBound usage_bound;
-  Common::VmId self; ///< Named to others as the witness of what it saw.
-  /// After an answer to this VM has announced a server's end, it may get for so long what no other
-  /// server can take.
+  Common::VmId self; ///< Recorded as the observer in crash reports that other daemons receive.
+  /// For this long after a response to this VM announced that the server drains, the server may
+  /// still get requests that no other server can take.
   Common::Milliseconds drain_grace{1000};
 };
 
-/// Counters that the metrics show beside the outcomes of requests.
+/// Counters that are exported in addition to the request outcomes.
 struct DispatcherCounters
 {
   std::int64_t attempts = 0;
   std::int64_t repeats = 0;
   std::int64_t resumed = 0;
-  std::int64_t sent_to_draining = 0; ///< As no other server could take them.
-  std::int64_t sent_after_drain = 0; ///< Later than that is allowed.
-  std::int64_t sent_in_backoff = 0;  ///< Although the server had named a Retry-After.
-  std::int64_t withdrawn = 0;        ///< Before they had gone out, as such a time began.
+  std::int64_t sent_to_draining = 0; ///< Because no other server could take them.
+  std::int64_t sent_after_drain = 0; ///< After the drain grace had run out.
+  std::int64_t sent_in_backoff = 0;  ///< While the backoff of the server was active.
+  std::int64_t withdrawn = 0; ///< Because a Retry-After came before their first byte was sent.
 };
 
-/// Takes callers' requests, matches them with backend servers, and holds those that wait.
+/// Accepts callers' requests, assigns them to backend servers and queues those that have to wait.
 class Dispatcher : public Http::RequestHandler
 {
 public:
@@ -83,9 +84,9 @@
 
   void Configure(DispatcherSettings settings);
   void SetConfiguration(std::shared_ptr<const Configuration> configuration);
-  /// A newer configuration could not be read: the one before stays in force.
+  /// Records that a newer configuration was invalid; the current one stays in force.
   void NoteRefusedConfiguration(std::string reason) { m_refused_configuration = std::move(reason); }
-  /// Why the newest configuration is not in force; empty where it is.
+  /// Why the newest configuration is not in force; empty if it is.
   const std::string& RefusedConfiguration() const { return m_refused_configuration; }
   const std::shared_ptr<const Configuration>& CurrentConfiguration() const
   {
@@ -96,47 +97,49 @@
   RetryBudget& Budget() { return m_budget; }
   Accounts::KeyTrust& Keys() { return m_keys; }
   Accounts::LocalAllowances& Allowances() { return m_allowances; }
-  /// The holder of the order lease grants units of the accounts' limits; requests that wait for
-  /// some go on.
+  /// Applies units of the accounts' limits that the lease holder has granted, and resumes requests
+  /// that were waiting for them.
   void TakeGrants(std::int64_t tenure, const std::vector<Accounts::GrantLine>& grants);
-  /// Servers that take only so many requests a second.
+  /// Servers that have announced a request rate limit.
   LimitedServers& Limited() { return m_limited; }
   const LimitedServers& Limited() const { return m_limited; }
-  /// Servers that have announced their end, for the exchange with other daemons.
+  /// Servers that have announced that they drain, for the exchange with other daemons.
   DrainBook& Draining() { return m_draining; }
-  /// The holder of `tenure` knows of servers that have announced their end.
+  /// Applies the draining servers that the lease holder of `tenure` has announced.
   void TakeDrainNews(std::int64_t tenure, std::span<const RateLimits::ServerKey> servers);
-  /// At the holder: another daemon does.
+  /// At the lease holder: applies the draining servers that another daemon has reported.
   void TakeDrainReport(const Common::VmId& from, std::span<const RateLimits::ServerKey> servers);
-  /// Called when permits for servers with a limit are wanted, or other daemons should hear of a
-  /// limit or of a server that drains.
+  /// Called when permits for servers with a limit are needed, or when a limit or a draining server
+  /// has to be reported to other daemons.
   void OnPermitDemand(std::function<void()> callback) { m_on_permit_demand = std::move(callback); }
-  /// What the waiting requests want of servers with a limit.
+  /// The permits that the waiting requests need, by server.
   std::vector<RateLimits::PermitWant> PermitWants();
-  /// Permits may have come; the holder tells how many requests of other daemons come first.
+  /// Applies the lease holder's answer: for each server, how many requests of other daemons are
+  /// queued ahead. Permits may have arrived with it.
   void TakePlaces(const std::vector<RateLimits::PlaceLine>& places);
-  /// Requests that end the servers that run them.
+  /// Requests that crash the servers that run them.
   const Crashes::CrashLedger& CrashCases() const { return m_crashes; }
-  /// What other daemons know of such requests.
+  /// Merges what other daemons have recorded about such requests.
   void TakeCrashCases(const std::vector<Crashes::CaseLine>& cases);
   const DispatcherSettings& Settings() const { return m_settings; }
   DispatcherCounters& Counters() { return m_counters; }
 
   Common::Metrics& GetMetrics() { return m_metrics; }
-  /// Brings the gauges up to date; for whoever reads the metrics.
+  /// Updates the gauges; called before the metrics are exported.
   void RefreshGauges();
 
-  /// Called when requests wait for an artifact that no server is known to hold.
+  /// Called when the demand that this daemon reports has changed: requests wait for a server or for
+  /// units of an account's limit, a refused caller is expected back, or crash or drain data is new.
   void OnDemand(std::function<void()> callback) { m_on_demand = std::move(callback); }
-  /// What is wanted now; arrivals are counted anew afterwards.
+  /// The current demand by artifact; resets the count of arrivals.
   std::vector<ArtifactDemand> TakeDemand();
 
   void Adopt(int fd);
-  /// From now on answers announce the close of their connection.
+  /// From now on responses carry `Connection: close`.
   void BeginStop();
-  /// Closes connections without an open request and refuses new requests.
+  /// Closes connections that have no open request, and refuses new requests.
   void CloseIdleConnections();
-  /// Gives up all open requests.
+  /// Ends all open requests with an error.
   void GiveUpAll();
   std::size_t OpenRequests() const { return m_relays.size(); }
 
@@ -145,43 +148,43 @@
   const Http::ServerLimits& Limits() const override { return m_limits; }
   bool IsStopping() const override { return m_stopping; }
 
-  // For relays.
+  // Called by Relay.
   ServerPtr ChooseServer(const Relay& relay);
-  /// True where some server in the pool holds the artifact, whether or not it has room.
+  /// True if a server in the pool can serve the artifact, even if it has no free slot now.
   bool IsHeldAnywhere(const PoolId& pool, const Artifact& artifact) const;
-  /// Where a request cannot be served before its caller leaves: nobody holds its model and the
-  /// weights would come too late, or all who hold it have a limit and too many wait for them, or
-  /// want no requests until later.
-  /// Nothing where it may wait, for `longest_wait` at most.
+  /// The refusal for a request that cannot be served before its caller disconnects: no server holds
+  /// its model and the weights would load too late, or all servers that hold it have a limit with
+  /// too long a queue or a Retry-After that lasts too long.
+  /// No value if the request may wait, for `longest_wait` at most.
   std::optional<EarlyRefusal> WhyRefuse(const Relay& relay, Common::Milliseconds patience,
                                         Common::Milliseconds longest_wait);
-  /// A refused request should come back after `span`; until then it counts as one that waits, so
-  /// that its model may be loaded.
+  /// Counts a refused request as a waiting one for `span`, after which its caller should retry, so
+  /// that its model can be loaded meanwhile.
   void ExpectReturn(const Relay& relay, Common::Milliseconds span);
   void NoteArrival(const Relay& relay);
   EndDetector& Ends() { return m_ends; }
-  /// Takes what an answer tells of its server into account; for answers to requests, orders and
-  /// reports alike.
+  /// Applies the signals in the headers of a response to a request, an order or a report.
   void NoteSignals(const ServerPtr& server, const ServerSignals& signals,
                    const SignalOrigin& origin);
-  /// The head of an interim answer, which tells only of the server's end.
+  /// Applies the signals of an interim (1xx) response, of which only draining counts.
   void NoteInterimSignals(const ServerPtr& server, const ServerSignals& signals,
                           const SignalOrigin& origin);
-  /// A request goes to the server now.
+  /// Counts a request that is being sent to the server.
   void CountSend(const Server& server, Common::TimePoint now);
-  /// The server's connection broke while it had the request.
+  /// Records that the connection broke while the server had the request.
   void NoteBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
                   std::optional<Common::Milliseconds> ran_for);
-  /// Whether the request may be sent to a server.
+  /// Whether the request is blocked because servers that ran it have crashed.
   Crashes::Judgement JudgeCrashes(Relay& relay) const;
-  /// It is not settled whether the request has just ended the last server that it may end.
+  /// True while the request is one crash short of being blocked, and it is not yet known whether a
+  /// server that just broke its connection has crashed.
   bool IsHeldBack(Relay& relay) const;
-  /// A server has run the request to a good end.
+  /// Records that a server has completed the request successfully.
   void NoteSurvival(Relay& relay);
-  /// A waiting request may go on; runs once from the main loop, however often it is asked for.
+  /// Schedules one pass over the waiting requests from the main loop; repeated calls are merged.
   void WakeWaiting();
   void RequestDemand();
-  /// A request waits for units of its account's limit.
+  /// Called when a request begins to wait for units of its account's limit.
   void RequestAllowance();
   void Finished(Relay* relay);
 
@@ -189,33 +192,35 @@
   void PumpWaiting();
   void TakeEnd(const InstanceId& instance, Common::TimePoint ended_at,
                const std::vector<EndDetector::Suspect>& suspects);
-  /// Requests that are blocked now: those that are open end.
+  /// Ends the open requests that have become blocked.
   void EndBlocked();
-  /// Units that the accounts asked for, and that were refused.
+  /// Updates the gauges of requested and refused units by account.
   void RefreshAccountGauges();
-  /// Requests that wait for units, oldest first, look whether there are some.
+  /// Retries the requests that wait for units of an account's limit, oldest first.
   void TryAllowances();
   std::int64_t LimitFor(const Server& server) const;
-  /// True where the request may be sent to the server now, but for the server's own limit.
+  /// True if the request may be sent to the server now, leaving the server's rate limit aside.
   bool IsEligible(const Relay& relay, const Server& server, Common::TimePoint now) const;
-  /// `holders`: all that hold the model, each of which has a limit or wants no requests yet.
-  /// `nearest`: where else it may be loaded.
+  /// `holders`: all servers that hold the model; each has a limit or a Retry-After in force.
+  /// `nearest`: the nearest copy of the weights from which another server could load the model.
   std::optional<EarlyRefusal> RefuseForWait(const std::vector<ServerPtr>& holders, bool is_coming,
                                             std::optional<Decisions::WeightSource> nearest,
                                             Common::Milliseconds longest_wait);
-  /// How long a request would wait until the server takes it, as far as the server has told.
+  /// How long a request would wait for the server, by its Retry-After and its rate limit.
   Common::Milliseconds ExpectedWait(const Server& server, Common::TimePoint now) const;
-  /// True where a request that waits would be overtaken by this one.
+  /// True if the request is new and a waiting request for the same artifact ranks before it.
   bool IsOvertaking(const Relay& relay) const;
-  /// A request could have gone to the server but for its limit.
+  /// Records that a request went elsewhere although the server could have served it but for its
+  /// limit.
   void NotePassedBy(const Server& server, Common::TimePoint now);
-  /// Servers with a limit to which a request could go instead of elsewhere.
+  /// Servers with a limit that this daemon could probe, by sending them a request that another
+  /// server could take as well.
   std::vector<RateLimits::ServerKey> ProbesToOffer() const;
-  /// The best of these servers; nothing where all are full.
+  /// The best of these servers; null if all are full.
   ServerPtr ChooseAmong(const std::vector<ServerPtr>& servers, const Relay& relay);
-  /// Waiting requests, the first to be served first.
+  /// The waiting requests in the order in which they are to be served.
   std::vector<std::shared_ptr<Relay>> WaitingInOrder() const;
-  /// A waiting request, and the server with a limit whose permit it waits for.
+  /// A waiting request and the rate-limited server whose permit it waits for.
   struct AwaitedPermit
   {
     std::shared_ptr<Relay> relay;
@@ -223,20 +228,20 @@
     Common::Milliseconds expected_wait{0};
   };
   std::vector<AwaitedPermit> AwaitedPermits(Common::TimePoint now) const;
-  /// A limit has begun or changed: requests that wait in vain now are refused.
+  /// Refuses the waiting requests whose expected wait has become too long.
   void ReviewWaiting();
   void OnLimitChange();
-  /// The server has named a Retry-After.
+  /// Applies a Retry-After that the server sent.
   void NoteRetryAfter(const ServerPtr& server, Common::Milliseconds span,
                       const SignalOrigin& origin);
-  /// Servers have named a Retry-After: looks at the requests that wait for them, and at those that
-  /// have not gone out to them yet.
+  /// After new Retry-After headers: withdraws the requests that have not been sent to those servers
+  /// yet, and checks the waiting requests again.
   void ReviewBackoffs();
-  /// An answer to this VM has announced the server's end.
+  /// Called when a response to this VM announced that the server drains.
   void NoteAnnouncedEnd(const ServerPtr& server, const SignalOrigin& origin);
-  /// The end of a server was announced to another VM.
+  /// Called when another VM has reported that a server drains.
   void NoteReportedEnd(RateLimits::ServerKey key, std::string_view told_by);
-  /// Servers that came after the news of their end.
+  /// Marks servers as draining that were added after their drain had been reported.
   void RefreshDraining();
 
   DispatcherSettings m_settings;
@@ -252,8 +257,8 @@
   EndDetector m_ends{m_servers};
   LimitedServers m_limited{m_servers};
   DrainBook m_draining;
-  std::set<ServerPtr> m_backoff_news;    ///< Servers that have just named a time.
-  std::uint64_t m_draining_revision = 0; ///< Of the servers that have been told of the book.
+  std::set<ServerPtr> m_backoff_news;    ///< Servers with a new Retry-After, not yet reviewed.
+  std::uint64_t m_draining_revision = 0; ///< Of the directory when m_draining was last applied.
   Decisions::AffinityRouting m_routing;
   std::map<Relay*, std::shared_ptr<Relay>> m_relays;
   std::map<Http::ServerConnection*, std::shared_ptr<Http::ServerConnection>> m_connections;
@@ -266,7 +271,7 @@
   std::map<std::pair<PoolId, Artifact>, ExpectedReturn> m_returns;
   std::function<void()> m_on_demand;
   std::function<void()> m_on_permit_demand;
-  /// When a request last went elsewhere that a server with a limit could have served.
+  /// When a request that the rate-limited server could have served last went elsewhere.
   std::map<RateLimits::ServerKey, Common::TimePoint> m_passed_by;
   DispatcherCounters m_counters;
   Common::Metrics m_metrics;
--- a/Source/Core/Gateway/DispatcherLimits.cpp
+++ b/Source/Core/Gateway/DispatcherLimits.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Requests that wait for a permit of a server with a limit, or are refused for it.
+// Requests that wait for a permit of a rate-limited server, or are refused because of the limit.
 
 #include "Gateway/Dispatcher.h"
 
@@ -19,11 +19,12 @@
 {
 using Common::Milliseconds;
 
-/// A server with a limit may be probed where a request could have gone there so lately.
+/// A rate-limited server may be probed for this long after a request that it could have served went
+/// elsewhere.
 constexpr Milliseconds PASSED_BY_LATELY{1000};
-/// Servers that one daemon offers to probe at once.
+/// The most servers that one daemon offers to probe at once.
 constexpr std::size_t MAX_PROBES = 8;
-/// Callers that are refused until a server wants requests again return over so long.
+/// Retries of callers that are refused because of a Retry-After are spread over this period.
 constexpr Milliseconds BACKOFF_RETURN_SPREAD{500};
 } // namespace
 
@@ -53,12 +54,12 @@
   if (loads_elsewhere || ExpectedWait(*soonest, now) <= longest_wait)
     return std::nullopt;
   if (!soonest->GetBackoff().IsNamed(now))
-    return EarlyRefusal{m_limited.ComeBackAfter(*soonest, now), "its servers take too few requests",
-                        soonest};
+    return EarlyRefusal{m_limited.ComeBackAfter(*soonest, now),
+                        "the queue for the servers' rate limits is too long", soonest};
   const auto spread = Milliseconds(Common::SharedRandom()() % BACKOFF_RETURN_SPREAD.count());
   const auto come_back =
       std::max(soonest->GetBackoff().Left(now) + spread, m_limited.ComeBackAfter(*soonest, now));
-  return EarlyRefusal{come_back, "its servers want no requests yet", soonest};
+  return EarlyRefusal{come_back, "the servers' Retry-After lasts too long", soonest};
 }
 
 std::vector<Dispatcher::AwaitedPermit> Dispatcher::AwaitedPermits(Common::TimePoint now) const
@@ -91,7 +92,7 @@
 {
   std::vector<RateLimits::ServerKey> keys;
   std::ranges::copy(std::views::keys(m_passed_by), std::back_inserter(keys));
-  // Others each time, so that every server has its turn.
+  // Shuffled, so that every server is offered at some time.
   std::ranges::shuffle(keys, Common::SharedRandom());
   keys.resize(std::min(keys.size(), MAX_PROBES));
   return keys;
--- a/Source/Core/Gateway/DispatcherSignals.cpp
+++ b/Source/Core/Gateway/DispatcherSignals.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// What answers tell of their servers.
+// Handling of the signals about servers in the headers of their responses, and of draining servers
+// that other daemons report.
 
 #include "Gateway/Dispatcher.h"
 
@@ -20,7 +21,7 @@
   return std::chrono::floor<Milliseconds>(Common::Now() - origin.sent_at);
 }
 
-/// Another process at the address speaks for itself alone.
+/// True if another process than `server` responded at its address; its signals do not apply.
 bool IsOfAnotherInstance(const Server& server, const ServerSignals& signals)
 {
   return signals.instance && *signals.instance != server.Entry().instance.Get();
@@ -120,7 +121,7 @@
                     {"in_flight", server->InFlight()}});
   if (m_draining.Note(server->Key(), now) && m_on_permit_demand)
     m_on_permit_demand();
-  // Its models may be needed elsewhere.
+  // The server's models may have to be loaded elsewhere.
   if (m_on_demand)
     m_on_demand();
 }
--- a/Source/Core/Gateway/EntryPoint.cpp
+++ b/Source/Core/Gateway/EntryPoint.cpp
@@ -18,15 +18,15 @@
 {
 using Common::Milliseconds;
 
-/// The balancer asks every second and takes a daemon out after two misses: until then new
-/// connections come, and they are served. Whatever came in this time may use the rest of the grace.
+/// The load balancer probes every second and removes a daemon after two failed probes. New
+/// connections that arrive until then are still served, and may use the rest of the grace period.
 constexpr Milliseconds NOTICE{2500};
-/// How often a stopping process looks whether its last request is done.
+/// How often a stopping process checks whether its last request has ended.
 constexpr Milliseconds STOP_POLL{50};
-/// What is left of the grace time when open requests are given up, so that their callers still hear
-/// of it.
+/// Open requests are ended this long before the grace period is over, so that the error responses
+/// still reach their callers.
 constexpr Milliseconds STOP_MARGIN{150};
-/// Requests under which so many servers have ended stand in the dump.
+/// Requests that have crashed at least this many servers are included in the dump.
 constexpr std::size_t DUMPED_ENDINGS = 2;
 
 GMainLoop* MainLoop()
@@ -41,11 +41,11 @@
     (*static_cast<std::function<void()>*>(data))();
     return G_SOURCE_CONTINUE;
   };
-  // Lives as long as the process.
+  // The source and the callback are kept until the process exits.
   g_unix_signal_add(number, run, new std::function<void()>(std::move(callback)));
 }
 
-/// Null where the server has none.
+/// The server's rate limit; null if it has none.
 Common::Json DumpLimit(const Server& server, Common::TimePoint now)
 {
   const auto& limit = server.Limit();
@@ -56,7 +56,8 @@
           {"age_ms", age.count()},
           {"learned_from", limit->learned_from}};
 }
-/// Since the first answer or report that announced the server's end; null without one.
+/// Time since the first response or report that announced that the server drains; null if there was
+/// none.
 Common::Json DumpDrainAge(const Server& server, Common::TimePoint now)
 {
   const auto since = server.Drain().Since();
--- a/Source/Core/Gateway/EntryPoint.h
+++ b/Source/Core/Gateway/EntryPoint.h
@@ -21,8 +21,8 @@
   DispatcherSettings dispatcher;
 };
 
-/// Answers the platform's readiness probe (any path but the others), the reader of metrics
-/// (/metrics) and the operator who wants to see the state (/dump).
+/// HTTP handler for the metrics (/metrics), a dump of the state for operators (/dump) and, on any
+/// other path, the platform's readiness probe.
 class ProbeResponder : public Http::RequestHandler
 {
 public:
@@ -48,21 +48,21 @@
   std::map<Http::ServerConnection*, std::shared_ptr<Http::ServerConnection>> m_connections;
 };
 
-/// The process around the dispatcher: listeners, readiness, signals and the planned stop.
+/// Runs the dispatcher as a process: listeners, readiness, signals and graceful shutdown.
 class EntryPoint
 {
 public:
   explicit EntryPoint(EntryPointSettings settings);
 
   Common::Result<Common::Done> Start();
-  /// Runs the main loop until the planned stop is done; gives the exit status.
+  /// Runs the main loop until the graceful shutdown is complete; returns the exit status.
   int Run();
   void Configure(EntryPointSettings settings);
-  /// Called on the signal that the settings have changed.
+  /// Called on SIGHUP, which asks for the settings to be reloaded.
   void OnReload(std::function<void()> callback) { m_on_reload = std::move(callback); }
-  /// Called when the planned stop begins.
+  /// Called when the graceful shutdown begins.
   void OnStop(std::function<void()> callback) { m_on_stop = std::move(callback); }
-  /// Called before the metrics are read, to bring gauges up to date.
+  /// Called before the metrics are exported, to update gauges.
   void OnMetrics(std::function<void(Common::Metrics&)> callback)
   {
     m_on_metrics = std::move(callback);
--- a/Source/Core/Gateway/EventSplitter.cpp
+++ b/Source/Core/Gateway/EventSplitter.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-/// The position behind the blank line that ends the first event, or npos.
+/// The position after the blank line that ends the first event, or npos.
 std::size_t EndOfEvent(std::string_view bytes)
 {
   const auto lf = bytes.find("\n\n");
@@ -20,7 +20,7 @@
   return std::min(lf_end, crlf_end);
 }
 
-/// The number in the event's `id:` line, if there is one.
+/// The number in the event's `id:` line, if it has one.
 std::optional<std::int64_t> IdOf(std::string_view event)
 {
   while (!event.empty())
--- a/Source/Core/Gateway/EventSplitter.h
+++ b/Source/Core/Gateway/EventSplitter.h
@@ -10,21 +10,21 @@
 
 namespace Gateway
 {
-/// Cuts the body of an event stream into whole events. Only whole events go to the caller, so that
-/// a stream that breaks inside an event can be continued behind the last whole one.
+/// Splits the body of an event stream into complete events. Only complete events are forwarded, so
+/// that a stream that breaks inside an event can be resumed after the last complete one.
 class EventSplitter
 {
 public:
-  /// Takes bytes and gives those that make up whole events, from which events that the caller
-  /// already has (ids up to the last one) are left out.
+  /// Appends bytes and returns the events that are now complete, without those that the caller has
+  /// already received (ids up to LastId()).
   std::string Feed(std::string_view bytes);
-  /// Forgets the bytes of an event that was cut off; the stream goes on from another server.
+  /// Discards the bytes of an incomplete event before the stream is resumed at another server.
   void DropPartial() { m_partial.clear(); }
-  /// Bytes behind the last whole event.
+  /// Bytes after the last complete event.
   const std::string& Partial() const { return m_partial; }
-  /// The id of the last whole event; empty before the first.
+  /// The id of the last complete event that had one; empty before the first.
   const std::optional<std::int64_t>& LastId() const { return m_last_id; }
-  /// Events up to this id are with the caller already.
+  /// Skips events up to this id, which the caller already has.
   void StartAfter(std::int64_t id) { m_last_id = id; }
 
 private:
--- a/Source/Core/Gateway/Forwarding.cpp
+++ b/Source/Core/Gateway/Forwarding.cpp
@@ -12,7 +12,7 @@
 {
 namespace
 {
-/// Headers that concern one connection only (RFC 9110, 7.6.1), and those that the relay sets anew.
+/// Hop-by-hop headers (RFC 9110, 7.6.1) and headers that the relay sets itself.
 constexpr std::array<std::string_view, 10> CONNECTION_HEADERS = {
     "Connection",     "Keep-Alive",        "Proxy-Connection", "TE",
     "Trailer",        "Upgrade",           "Expect",           "Transfer-Encoding",
@@ -25,7 +25,7 @@
   });
 }
 
-/// True where the message's Connection header names `name`.
+/// True if the message's Connection header lists `name`.
 bool IsNamedByConnection(const Http::MessageHead& head, std::string_view name)
 {
   const std::string* connection = head.Find("Connection");
--- a/Source/Core/Gateway/Forwarding.h
+++ b/Source/Core/Gateway/Forwarding.h
@@ -11,25 +11,25 @@
 #include "Gateway/Types.h"
 #include "Http/ServerConnection.h"
 
-/// What of a message goes on to the other side: everything as it came, but for the headers that
-/// concern one connection only and those that the relay sets itself.
+/// Builds the messages that the relay forwards. They are passed on unchanged except for hop-by-hop
+/// headers and the headers that the relay sets itself.
 namespace Gateway
 {
-/// What the relay adds to a request for one backend server.
+/// Values of the headers that the relay adds to a request for one backend server.
 struct ForwardedParts
 {
   Common::Milliseconds time_left{0};
   InstanceId instance;
   std::optional<int> urgency;
-  Accounts::AccountName account; ///< Empty where the caller needs none.
-  std::optional<std::int64_t>
-      last_event_id; ///< Instead of the caller's own: the stream goes on there.
+  Accounts::AccountName account; ///< Empty if the caller needs no account.
+  /// Replaces the caller's own value when a stream is resumed.
+  std::optional<std::int64_t> last_event_id;
 };
 
-/// The bytes of the request as a backend server gets it.
+/// The request as it is sent to a backend server: head and body.
 std::string ForwardedRequest(const Http::ReceivedRequest& request, const HeaderNames& names,
                              const ForwardedParts& parts);
 
-/// The headers of a backend server's answer that the caller gets.
+/// The headers of a backend server's response that are forwarded to the caller.
 std::vector<Http::HeaderField> ForwardedHeaders(const Http::MessageHead& head);
 } // namespace Gateway
--- a/Source/Core/Gateway/LimitedServers.cpp
+++ b/Source/Core/Gateway/LimitedServers.cpp
@@ -16,12 +16,14 @@
 using RateLimits::ServerKey;
 using Seconds = std::chrono::duration<double>;
 
-/// The longest span after which a refused request is told to come back.
+/// The longest time that ComeBackAfter() returns.
 constexpr Milliseconds LONGEST_RETURN{10000};
 
-/// The holder answers each time that this daemon repeats what it waits for.
+/// How long a queue position is used: the lease holder sends it in every answer to this daemon's
+/// periodic permit requests.
 constexpr Milliseconds AHEAD_VALID{300};
-/// The holder tells twice in this span when the next permit is free.
+/// How long the time of the next free permit is used: the lease holder announces it twice within
+/// this span.
 constexpr Milliseconds FREE_VALID{1300};
 
 std::uint32_t CountOf(const std::map<ServerKey, std::uint32_t>& counts, ServerKey server)
--- a/Source/Core/Gateway/LimitedServers.h
+++ b/Source/Core/Gateway/LimitedServers.h
@@ -16,27 +16,27 @@
 
 namespace Gateway
 {
-/// The backend servers that name how many requests a second they take, and what this daemon may
-/// send to them. The directory's servers are told of their limits.
+/// Tracks the backend servers that announce a limit of requests per second, and the requests that
+/// this daemon may send to them. Sets the limit of the servers in the directory.
 class LimitedServers
 {
 public:
   explicit LimitedServers(ServerDirectory& servers) : m_servers(servers) {}
 
-  /// Called after a limit has begun, changed or ended here.
+  /// Called after this daemon has learned of a new, changed or ended limit.
   void OnChange(std::function<void()> callback) { m_on_change = std::move(callback); }
 
-  /// A server has answered a request that was sent to it at `sent_at`.
+  /// Applies the limit in a server's response to a request that was sent at `sent_at`.
   void NoteAnswer(const Server& server, const RateLimits::LimitReading& reading,
                   Common::TimePoint sent_at);
-  /// What the holder announced.
+  /// Applies an announcement of the lease holder: limits and queues.
   void TakeNews(std::int64_t tenure, const RateLimits::LimitNews& news);
-  /// Of what the holder announces, the queues for servers alone.
+  /// Applies only the queues of such an announcement.
   void TakeQueues(const RateLimits::LimitNews& news, Common::TimePoint now);
-  /// As the holder: what another daemon read.
+  /// At the lease holder: applies limits that another daemon has read from responses.
   void TakeObservations(std::int64_t tenure, const Common::VmId& from,
                         std::span<const RateLimits::LimitObservation> observations);
-  /// The directory has changed.
+  /// Applies the limits to the directory's servers; called after the directory has changed.
   void Refresh();
 
   RateLimits::LimitBook& Book() { return m_book; }
@@ -44,26 +44,26 @@
   const RateLimits::LocalPermits& Permits() const { return m_permits; }
   /// Servers with a limit.
   const std::vector<ServerPtr>& All() const { return m_limited; }
-  /// Rises when a limit or a server changes.
+  /// Increases when a limit or a server changes.
   std::uint64_t Revision() const { return m_revision; }
-  /// For the one that hands out permits.
+  /// The limits in force, for the PermitKeeper of the lease holder.
   std::vector<RateLimits::PermitKeeper::KnownLimit> KnownLimits() const;
 
-  /// True where the server has no limit, or this daemon may send a request to it now.
+  /// True if the server has no limit, or if its limit lets this daemon send a request now.
   bool MaySend(const Server& server, Common::TimePoint now);
-  /// A request is sent.
+  /// Uses up a permit for a request that is being sent.
   void NoteSend(const Server& server, Common::TimePoint now);
 
-  /// How long one more request would wait for its permit.
+  /// How long an additional request would wait for its permit.
   Common::Milliseconds ExpectedWait(const Server& server) const;
-  /// The same behind `own` requests of this daemon, whatever waits here now.
+  /// The same behind `own` requests of this daemon, instead of those that wait here now.
   Common::Milliseconds WaitBehind(const Server& server, int own) const;
-  /// When a request that was refused now should come back: each one that is told so comes later
-  /// than the one before, so that they do not return together.
+  /// How long the caller of a request that is refused now should wait before it retries. Each call
+  /// returns a later time than the one before, so that the retries are spread out.
   Common::Milliseconds ComeBackAfter(const Server& server, Common::TimePoint now);
-  /// What comes before this daemon's requests, as the holder answered.
+  /// Applies the lease holder's answer: how many requests are queued ahead of this daemon's.
   void SetPlaces(const std::vector<RateLimits::PlaceLine>& lines, Common::TimePoint now);
-  /// Requests of this daemon that wait for the server's permits.
+  /// Sets how many requests of this daemon wait for permits, by server.
   void SetOwnWaiting(std::map<RateLimits::ServerKey, std::uint32_t> waiting)
   {
     m_own_waiting = std::move(waiting);
@@ -72,7 +72,7 @@
   std::int64_t UnreadableAnswers() const { return m_unreadable; }
 
 private:
-  /// Until the next permit is free, where none waits.
+  /// Time until the next permit is free if no request waits.
   Common::Milliseconds FreeIn(const Server& server, Common::TimePoint now) const;
   void Report(const std::vector<RateLimits::LimitChange>& changes, std::string_view source);
 
@@ -80,7 +80,7 @@
   RateLimits::LimitBook m_book;
   RateLimits::LocalPermits m_permits;
   std::vector<ServerPtr> m_limited;
-  /// Of all daemons, as the holder last told.
+  /// Waiting requests of all daemons, as last announced by the lease holder.
   std::map<RateLimits::ServerKey, std::uint32_t> m_waiting;
   std::map<RateLimits::ServerKey, std::uint32_t> m_own_waiting;
   struct Ahead
@@ -89,7 +89,7 @@
     Common::TimePoint told_at;
   };
   std::map<RateLimits::ServerKey, Ahead> m_ahead;
-  /// When the next permit of a server is free, as the holder last told.
+  /// When the next permit of a server is free, as last announced by the lease holder.
   struct FreeAt
   {
     Common::TimePoint at;
--- a/Source/Core/Gateway/Relay.cpp
+++ b/Source/Core/Gateway/Relay.cpp
@@ -20,21 +20,24 @@
 {
 using Common::Milliseconds;
 
-/// The least urgent rank that a backend server knows.
+/// The least urgent value that backend servers accept in the urgency header.
 constexpr int MAX_URGENCY = 9;
-/// A caller leaves a stream that is silent for the longest of these: fixed, times the latency
-/// target, times the gap target. The platform's page on requests gives the figures.
+/// A caller disconnects from a stream that is silent for the longest of: a fixed time, a multiple
+/// of the latency target, a multiple of the gap target. The figures are those of the platform's
+/// documentation of requests.
 constexpr Milliseconds CALLER_PATIENCE{2000};
 constexpr int CALLER_PATIENCE_TARGETS = 4;
 constexpr int CALLER_PATIENCE_GAPS = 8;
-/// Less time than this is not worth another attempt.
+/// No further attempt is made with less time than this before the deadline.
 constexpr Milliseconds MIN_ATTEMPT_TIME{40};
-/// A repeatable request without any answer for so many latency targets goes to another server.
+/// A streaming request that has no response after this many latency targets is retried at another
+/// server if it is repeatable. For other requests it is one latency target.
 constexpr double SILENCE_TARGETS = 2.5;
-/// A server that has left the platform's list may still finish its work; one that is silent for so
-/// long besides is taken for dead.
+/// A server that the platform no longer lists may still finish its work; if it has also been silent
+/// for this long, it is considered dead.
 constexpr Milliseconds GONE_SERVER_SILENCE{1900};
-/// When a refused caller should come back: a disk load takes about a second.
+/// Retry-After of a refused request whose model no server holds (a load from disk takes about a
+/// second), and of other refused requests.
 constexpr std::string_view RETRY_AFTER_LOAD_S = "0.5";
 constexpr std::string_view RETRY_AFTER_S = "0.1";
 
@@ -49,7 +52,7 @@
   return number;
 }
 
-/// The prompt's parts without the last, which no other request shares.
+/// All parts of the prompt but the last, which is specific to the request.
 std::string SharedParts(const std::string& parts)
 {
   const auto comma = parts.rfind(',');
@@ -74,7 +77,8 @@
   return pools.back().pool;
 }
 
-/// How long a caller stays without a word; for a whole answer until its deadline.
+/// How long a caller of a stream waits without receiving anything; a caller of a complete response
+/// waits until its deadline.
 Milliseconds CallerPatience(const Route& route)
 {
   if (route.repeatability != Repeatability::Streaming)
@@ -136,7 +140,7 @@
   m_id = id == nullptr ? "" : *id;
   if (!configuration)
   {
-    Refuse("no configuration is known yet");
+    Refuse("no configuration has been received yet");
     return;
   }
   const std::string* host = m_request.head.Find("Host");
@@ -146,7 +150,7 @@
                            : configuration->FindRoute(*host, target.substr(0, target.find('?')));
   if (route == nullptr)
   {
-    EndWith(Outcome::NoRoute, 404, "no route");
+    EndWith(Outcome::NoRoute, 404, "no route matches the host and path");
     return;
   }
   m_route = *route;
@@ -185,11 +189,11 @@
     return false;
   m_come_back_after = judgement.blocked_for;
   const std::string why =
-      std::to_string(judgement.endings) + " servers ended that had this request";
+      std::to_string(judgement.endings) + " servers crashed while they had this request";
   if (m_stream_begun)
     EndWith(Outcome::BrokenOff, 0, why);
   else
-    // It may have run in this attempt, and then there is no word that it did not.
+    // If it may have run, also in this attempt, the status must not promise that it did not.
     EndWith(Outcome::Blocked, m_may_have_run || m_connection ? 502 : 503, why);
   return true;
 }
@@ -197,7 +201,7 @@
 void Relay::EndIfBlocked()
 {
   const auto guard = shared_from_this();
-  // A server that has begun to answer is left to go on: what it makes may clear the request.
+  // A server that has begun to respond may finish: a success would unblock the request.
   if (!m_done && !m_server_spoke_at)
     AnswerIfBlocked();
 }
@@ -263,7 +267,7 @@
   const bool is_repeat = m_arrivals > 0;
   if (is_repeat && !m_dispatcher.Budget().Take(m_pool, Common::Now()))
   {
-    AttemptFailed("the retry budget is spent", m_may_have_run);
+    AttemptFailed("the retry budget is exhausted", m_may_have_run);
     return;
   }
   Send(server);
@@ -284,7 +288,7 @@
   m_connection = m_server->TakeConnection(now);
   if (!m_connection)
   {
-    AttemptFailed("no socket left", m_may_have_run);
+    AttemptFailed("no socket available", m_may_have_run);
     return;
   }
   m_dispatcher.Limited().NoteSend(*m_server, now);
@@ -360,11 +364,13 @@
 void Relay::PassAnswerOn()
 {
   m_head = *m_kept_head;
-  // Without the server's own word that it did not run, a status that promises so is not passed on.
+  // These statuses promise that the request did not run. They are not forwarded unless the server
+  // has confirmed it with its own header; those responses are handled as rejections.
   const bool promises = m_head.status == 503 || m_head.status == 429 || m_head.status == 408;
   if (promises)
   {
-    Fail(502, "the server gave " + std::to_string(m_head.status) + " without its word");
+    Fail(502, "the server sent status " + std::to_string(m_head.status) +
+                  " without confirming that the request did not run");
     return;
   }
   m_caller->Respond(m_head.status, m_head.reason, ForwardedHeaders(m_head), m_kept_body);
@@ -388,7 +394,7 @@
   const bool gone = m_dispatcher.Servers().Find(m_server->Entry().instance) == nullptr;
   if (gone && now - m_silence_since >= GONE_SERVER_SILENCE)
   {
-    AttemptFailed("the server is gone and silent", true);
+    AttemptFailed("the server is no longer listed and has sent nothing", true);
     return;
   }
   const bool elsewhere = m_route.IsRepeatable() && MayTryAgain(true) &&
@@ -397,7 +403,7 @@
   if (elsewhere)
   {
     m_server->Health().NoteFailure(now);
-    AttemptFailed("no answer from the server", true);
+    AttemptFailed("the server has sent nothing for too long", true);
     return;
   }
   m_silence_timer.Start(span, [this, span] {
@@ -413,18 +419,18 @@
   else if (m_may_have_run || m_connection)
     Fail(504, "the deadline passed");
   else
-    Refuse("the deadline passed before it ran");
+    Refuse("the deadline passed before the request ran");
 }
 
 void Relay::GiveUpForStop()
 {
   const auto guard = shared_from_this();
   if (m_stream_begun)
-    EndWith(Outcome::BrokenOff, 0, "this process stops");
+    EndWith(Outcome::BrokenOff, 0, "this process is shutting down");
   else if (m_may_have_run || m_connection)
-    Fail(502, "this process stops");
+    Fail(502, "this process is shutting down");
   else
-    Refuse("this process stops");
+    Refuse("this process is shutting down");
 }
 
 void Relay::Refuse(std::string_view why)
@@ -490,7 +496,7 @@
 {
   if (m_come_back_after)
   {
-    // Spread, so that those who were refused together do not return together.
+    // Random spread, so that callers that were refused together do not retry together.
     constexpr std::int64_t SPREAD = 10;
     const auto spread = m_come_back_after->count() / SPREAD + 1;
     const auto extra =
--- a/Source/Core/Gateway/Relay.h
+++ b/Source/Core/Gateway/Relay.h
@@ -24,32 +24,33 @@
 {
 class Dispatcher;
 
-/// A request that is refused at once.
+/// Why and for how long a request is refused without waiting any longer.
 struct EarlyRefusal
 {
   Common::Milliseconds come_back_after{0};
   std::string_view why;
-  /// With the shortest wait, where holders have a limit or want no requests yet.
+  /// The server with the shortest expected wait, if the servers that hold the model have a limit or
+  /// a Retry-After in force; otherwise null.
   ServerPtr holder;
 };
 
 /// Why a request ended, for logs and counters.
 enum class Outcome
 {
-  Answered,  ///< A backend server's answer was passed on whole.
-  Refused,   ///< Given up before it ran; the caller may come back.
-  Failed,    ///< Given up after it may have run.
-  BrokenOff, ///< The stream was cut after its beginning had gone out.
+  Answered,  ///< A complete response of a backend server was forwarded.
+  Refused,   ///< Ended without having run; the caller may retry.
+  Failed,    ///< Ended with an error after it may have run.
+  BrokenOff, ///< The stream was cut off after its beginning had been sent.
   CallerGone,
   NoRoute,
   Denied,    ///< The caller has no key that allows it.
   OverLimit, ///< The caller's account has used up its limit.
-  Blocked,   ///< Servers that ran it have ended.
+  Blocked,   ///< Servers that ran it have crashed.
 };
 std::string_view ToString(Outcome outcome);
 
-/// Carries one request to a backend server and the answer back. Holds all state of the request;
-/// what is shared (servers, budget, configuration) belongs to the dispatcher.
+/// Proxies one request to a backend server and its response back to the caller. Holds all state of
+/// the request; shared state (servers, budget, configuration) belongs to the dispatcher.
 class Relay : public Http::AnswerEvents, public std::enable_shared_from_this<Relay>
 {
 public:
@@ -57,47 +58,49 @@
         Http::ReceivedRequest request);
   ~Relay() override;
 
-  /// Finds the route and sends the request, or lets it wait for a server.
+  /// Finds the route and sends the request, or queues it until a server is available.
   void Start();
   /// Tries to send a waiting request; called when servers or models have changed.
   void TryDispatch();
 
   bool IsWaiting() const { return m_waiting; }
-  /// Waits for units of its account's limit, and for nothing else yet.
+  /// True while the request waits for units of its account's limit, before it looks for a server.
   bool AwaitsAllowance() const { return m_awaits_allowance; }
-  /// Units may have come.
+  /// Tries again to take the units of the account's limit that the request waits for.
   void TryAllowance();
   bool IsDone() const { return m_done; }
   const Artifact& Wanted() const { return m_artifact; }
   const PoolId& WantedPool() const { return m_pool; }
-  /// Of the caller's account; where it has none, of the route.
+  /// The priority of the caller's account; if that has none, of the route.
   int Priority() const { return m_priority; }
   Common::TimePoint ArrivedAt() const { return m_arrived; }
   Common::TimePoint Deadline() const { return m_deadline; }
   const std::string& Id() const { return m_id; }
-  /// Tokens-independent key that keeps requests with the same prompt beginning together.
+  /// Routing key of the artifact and all parts of the prompt but the last, so that requests whose
+  /// prompts begin with the same parts go to the same server.
   const std::string& AffinityKey() const { return m_affinity; }
-  /// True where the request may be sent to the server, as far as its route says: to each server
-  /// once, to so many at most, and then to the same again; and again to one that has named the time
-  /// when it takes it.
+  /// True if the route allows the request to be sent to the server: to a new server while fewer
+  /// than `max_servers` have been tried, then to the tried ones again. A server that rejected the
+  /// request with a Retry-After is always allowed again.
   bool MayGoTo(const InstanceId& instance) const;
   const Route& MatchedRoute() const { return m_route; }
-  /// By which the request is recognised when it comes again. Made when it is first asked for.
+  /// Identifies the request when its caller retries it. Computed on first use.
   const Crashes::Fingerprint& Fingerprint();
-  /// How much longer it waits for a server.
+  /// How much longer the request may wait for a server.
   Common::Milliseconds WaitLeft(Common::TimePoint now) const;
-  /// It waits for a server with a limit that will have no time for it: refused where it cannot be
-  /// served elsewhere either.
+  /// Refuses the request if it waits for a server that will not take it in time and no other server
+  /// can serve it.
   void ReviewWait();
-  /// These servers have named a Retry-After: if this request has not gone out to one of them yet,
-  /// it goes elsewhere.
+  /// Redirects the request to another server if it is assigned to one of `servers`, which have sent
+  /// a Retry-After, and none of its bytes have been sent yet.
   void WithdrawUnsent(const std::set<ServerPtr>& servers);
   Crashes::RequestIdentity Identity() const;
 
-  /// Servers have ended under the request: it is not sent again, nor waited for.
+  /// Ends the request if it is blocked because servers crashed while they ran it, unless a server
+  /// has already begun to respond.
   void EndIfBlocked();
 
-  /// The process stops: what is not finished is given up now.
+  /// Ends the request with an error because the process shuts down.
   void GiveUpForStop();
 
   Verdict OnAnswerHead(Http::MessageHead& head) override;
@@ -107,48 +110,48 @@
   void OnAnswerBroken(Http::Breakage breakage) override;
 
 private:
-  /// A stream that is silent for less is left alone, whatever its route aims at.
+  /// Shorter pauses of a stream are never treated as silence, whatever the targets of its route.
   static constexpr Common::Milliseconds MIN_STREAM_SILENCE{1000};
 
-  /// Finds out who calls; false where the request has been answered.
+  /// Identifies the caller's account; false if the request has ended.
   bool AdmitCaller(const Configuration& configuration);
-  /// The key still allows the request; false where the request has been answered.
+  /// Checks that the key is still valid; false if the request has ended.
   bool KeyStillAllows();
   void Deny(int status, std::string_view why);
-  /// Takes the request's units of its account's limit and sends the request; or lets it wait for
-  /// units, or refuses it.
+  /// Takes the units that the request costs from its account's limit and begins to send it;
+  /// otherwise waits for units or refuses the request.
   void TakeAllowance();
   void RefuseAllowance(Accounts::UsageVerdict verdict);
-  /// The request has not run: others may have its units.
+  /// Returns the request's units to its account if it has not run.
   void ReturnAllowance();
-  /// True where the request is blocked; it has been answered then.
+  /// Ends the request and returns true if it is blocked.
   bool AnswerIfBlocked();
-  /// Accepted by all limits: finds a server.
+  /// Looks for a server, after the account's limit has been checked.
   void Begin();
-  /// The values of the key headers, in their order.
+  /// The values of the key headers in the order in which they appear.
   std::vector<std::string_view> Keys() const;
   void ReadHeaders();
   void StartTimers();
   void Send(const ServerPtr& server);
   Common::Milliseconds TimeLeft() const;
 
-  // What came back.
+  // Handling of responses.
   void HandleRejection();
   void HandleWholeAnswer();
   bool IsSound(const Http::MessageHead& head) const;
-  /// Another process than the request was sent to has answered.
+  /// True if the response came from a different server process than the one addressed.
   bool IsOfAnotherInstance() const;
   void ForwardEvents(const std::string& events);
   void FinishStream();
   void PassAnswerOn();
 
-  // What to do when an attempt has failed.
+  // Handling of failed attempts.
   void AttemptFailed(std::string_view why, bool may_have_run);
   bool MayTryAgain(bool may_have_run) const;
-  /// The route allows it one more server.
+  /// True if the route allows the request to be sent to one more server.
   bool MayGoToAnother() const;
   void Wait();
-  /// True where the request has ended, as it cannot be served before its caller leaves.
+  /// Ends the request and returns true if it cannot be served before its caller disconnects.
   bool RefuseEarly();
   void LogEarlyRefusal(const EarlyRefusal& refusal) const;
   void OnWaitExpired();
@@ -158,7 +161,7 @@
 
   void Refuse(std::string_view why);
   void Fail(int status, std::string_view why);
-  /// Seconds, for the header of that name.
+  /// The value of the Retry-After header in seconds.
   std::string RetryAfter() const;
   void EndWith(Outcome outcome, int status, std::string_view why);
   void ReleaseServer();
@@ -169,8 +172,8 @@
   Http::ReceivedRequest m_request;
   Route m_route;
   PoolId m_pool;
-  Accounts::AccountName m_account; ///< Empty where no key is asked for.
-  /// The account as the configuration had it when the request came.
+  Accounts::AccountName m_account; ///< Empty if the route needs no key.
+  /// The account from the configuration that was in force when the request arrived.
   std::shared_ptr<const Accounts::Account> m_limited;
   double m_cost = 0; ///< In the units of the account's limit.
   bool m_charged = false;
@@ -182,7 +185,7 @@
   std::optional<Crashes::Fingerprint> m_fingerprint;
   Common::TimePoint m_arrived;
   Common::TimePoint m_deadline;
-  Common::Milliseconds m_patience{0}; ///< So long the caller stays without a word.
+  Common::Milliseconds m_patience{0}; ///< How long the caller waits without receiving data.
   Common::OwnedTimer m_deadline_timer;
   Common::OwnedTimer m_wait_timer;
   Common::OwnedTimer m_silence_timer;
@@ -190,31 +193,31 @@
   ServerPtr m_server;
   std::shared_ptr<Http::OriginConnection> m_connection;
   std::set<InstanceId> m_tried;
-  std::set<InstanceId> m_deferred_by; ///< Of these, who rejected it and named a time to come again.
-  Common::TimePoint m_sent_at;        ///< To the server that has the request now.
-  /// The first word of that server.
+  std::set<InstanceId> m_deferred_by; ///< Those of m_tried that rejected it with a Retry-After.
+  Common::TimePoint m_sent_at;        ///< To the current server.
+  /// When the response head of the current server arrived.
   std::optional<Common::TimePoint> m_server_spoke_at;
-  int m_arrivals = 0; ///< Times the request has reached, or may have reached, a server.
+  int m_arrivals = 0; ///< How often the request has reached, or may have reached, a server.
   bool m_may_have_run = false;
   bool m_waiting = false;
   bool m_done = false;
 
-  Http::MessageHead m_head; ///< Of the answer at hand.
-  ServerSignals m_signals;  ///< The same answer's.
+  Http::MessageHead m_head; ///< Of the current response.
+  ServerSignals m_signals;  ///< Of the current response.
   bool m_is_stream = false;
   std::string m_body;
-  /// The answer to pass on: the last one, or a server's first failure while it is repeated
-  /// elsewhere.
+  /// The response to forward: the latest one, or a server's first 5xx response while the request is
+  /// retried elsewhere.
   std::optional<Http::MessageHead> m_kept_head;
   std::string m_kept_body;
   EventSplitter m_events;
-  bool m_stream_begun = false; ///< Bytes of the stream have gone to the caller.
+  bool m_stream_begun = false; ///< Bytes of the stream have been sent to the caller.
   std::optional<Common::Milliseconds> m_first_event_after;
   Common::TimePoint m_last_event_at;
   Common::TimePoint m_silence_since;
   Common::Milliseconds m_longest_pause{0};
   std::string m_last_reason;
-  /// After a refusal the request should come back then; where it is not set, soon.
+  /// How long the caller should wait before it retries a refused request; unset: a short default.
   std::optional<Common::Milliseconds> m_come_back_after;
 };
 } // namespace Gateway
--- a/Source/Core/Gateway/RelayAdmission.cpp
+++ b/Source/Core/Gateway/RelayAdmission.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Who calls, and whether the account may.
+// Authentication of the caller and the limit of its account.
 
 #include "Gateway/Relay.h"
 
@@ -17,11 +17,13 @@
 {
 using Common::Milliseconds;
 
-/// So long a request waits for units of its account's limit: the holder of the order lease answers
-/// within some 10 ms; where it is gone, units flow in by themselves within a second. Replayed with
-/// a holder that is missed for 4.5 s, 0.8 s refused 7 of 100 units inside the limit.
+/// How long a request waits for units of its account's limit. The lease holder responds within some
+/// 10 ms; without a holder, units become available by themselves within a second. In a replay with
+/// the holder missing for 4.5 s, a value of 0.8 s refused 7 of 100 units that were within the
+/// limit.
 constexpr Milliseconds ALLOWANCE_PATIENCE{1500};
-/// Without a proof that the keys are current: a store that was lost is asked about once a second.
+/// Retry-After while the keys cannot be proven current: a store that cannot be reached is queried
+/// about once a second.
 constexpr Milliseconds RETRY_AFTER_PROOF{1000};
 } // namespace
 
@@ -76,7 +78,7 @@
   m_dispatcher.Allowances().NoteRefused(m_account, m_cost);
   m_come_back_after = m_dispatcher.Allowances().ComeBackAfter(*m_limited, m_cost, Common::Now());
   if (verdict == Accounts::UsageVerdict::Over)
-    EndWith(Outcome::OverLimit, 429, "the account is over its limit");
+    EndWith(Outcome::OverLimit, 429, "the account has used up its limit");
   else
     EndWith(Outcome::Refused, 503, "the account's limit cannot be checked");
 }
@@ -112,10 +114,10 @@
     Deny(401, "the request has no key");
     return false;
   case Accounts::Identity::Unknown:
-    Deny(401, "no account holds the key");
+    Deny(401, "the key belongs to no account");
     return false;
   case Accounts::Identity::Conflicting:
-    Deny(400, "the request has keys that differ");
+    Deny(400, "the request has several different keys");
     return false;
   case Accounts::Identity::Known:
     break;
@@ -135,7 +137,7 @@
   const Accounts::Account* account = accounts ? accounts->Find(keys.front()) : nullptr;
   if (accounts && (account == nullptr || account->name != m_account))
   {
-    constexpr std::string_view WHY = "the key was taken away";
+    constexpr std::string_view WHY = "the key has been revoked";
     if (m_stream_begun || m_may_have_run)
       AttemptFailed(WHY, m_may_have_run);
     else
@@ -152,7 +154,7 @@
                     {"account", m_account},
                     {"configuration", m_dispatcher.CurrentConfiguration()->version},
                     {"proof_age_ms", age ? age->count() : -1}});
-  AttemptFailed("the keys are not known to be current", m_may_have_run);
+  AttemptFailed("the keys cannot be proven current", m_may_have_run);
   return false;
 }
 
--- a/Source/Core/Gateway/RelayAnswers.cpp
+++ b/Source/Core/Gateway/RelayAnswers.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// What comes back from a backend server.
+// Handling of responses from backend servers.
 
 #include "Gateway/Relay.h"
 
@@ -18,7 +18,7 @@
 {
 using Common::Milliseconds;
 
-/// A stream that pauses for so many gap targets is continued elsewhere.
+/// A stream that pauses for this many gap targets is resumed at another server.
 constexpr int SILENCE_GAPS = 4;
 } // namespace
 
@@ -96,7 +96,7 @@
   m_caller->SendChunk(events);
   if (m_caller->UnsentBytes() == 0 || !m_connection)
     return;
-  // The caller reads slowly: the backend server is held up until it has caught up.
+  // Backpressure: stops reading from the backend server until the caller has received everything.
   m_connection->SetReading(false);
   m_caller->OnAllSent([this] {
     if (m_connection)
@@ -138,19 +138,20 @@
   if (!IsSound(m_head))
   {
     m_server->Health().NoteFailure(Common::Now());
-    AttemptFailed("an answer without the server's signature", true);
+    AttemptFailed("the response has no server signature, or a Content-Encoding", true);
     return;
   }
   const bool server_failed = m_head.status >= 500;
   if (m_stream_begun)
   {
-    // A continuation that is no stream cannot be joined to what the caller has.
-    AttemptFailed("the continuation was answered with " + std::to_string(m_head.status), true);
+    // A response that is no event stream cannot be appended to the stream that the caller has.
+    AttemptFailed("the resumed stream was answered with status " + std::to_string(m_head.status),
+                  true);
     return;
   }
   if (!server_failed)
     m_server->Health().NoteSuccess(Common::Now());
-  // A failure may come without a run.
+  // Only a success shows that the server has run the request; an error may come without a run.
   if (m_head.status >= 200 && m_head.status < 300)
     m_dispatcher.NoteSurvival(*this);
   const bool is_first_failure = server_failed && !m_kept_head;
@@ -160,7 +161,7 @@
     m_kept_body = m_body;
   }
   if (is_first_failure && m_route.IsRepeatable())
-    AttemptFailed("the server failed with " + std::to_string(m_head.status), true);
+    AttemptFailed("the server failed with status " + std::to_string(m_head.status), true);
   else
     PassAnswerOn();
 }
@@ -178,7 +179,8 @@
     if (m_signals.backoff)
       m_deferred_by.insert(m_server->Entry().instance);
   }
-  AttemptFailed("rejected with " + std::to_string(m_head.status), m_may_have_run);
+  AttemptFailed("the server rejected the request with status " + std::to_string(m_head.status),
+                m_may_have_run);
 }
 
 void Relay::OnAnswerBroken(Http::Breakage breakage)
@@ -189,7 +191,8 @@
   const bool timed_out = breakage == Http::Breakage::ConnectTimedOut;
   if (timed_out || breakage == Http::Breakage::ConnectFailed)
   {
-    // One lost packet delays a connection too: only a row of them ejects the server.
+    // A single lost packet can also delay a connection, so only several timeouts in a row eject the
+    // server.
     if (timed_out)
       m_server->Health().NoteFailure(now);
     else
@@ -199,19 +202,19 @@
     }
     --m_arrivals;
     m_tried.erase(m_server->Entry().instance);
-    AttemptFailed("no connection", m_may_have_run);
+    AttemptFailed("could not connect to the server", m_may_have_run);
     return;
   }
   m_server->Health().NoteFailure(now);
   if (breakage == Http::Breakage::Malformed)
   {
-    AttemptFailed("malformed answer", true);
+    AttemptFailed("malformed response", true);
     return;
   }
   std::optional<Milliseconds> ran_for;
   if (m_server_spoke_at)
     ran_for = std::chrono::duration_cast<Milliseconds>(now - *m_server_spoke_at);
   m_dispatcher.NoteBroken(m_server, *this, m_sent_at, ran_for);
-  AttemptFailed("broken answer", true);
+  AttemptFailed("the connection broke before the response was complete", true);
 }
 } // namespace Gateway
--- a/Source/Core/Gateway/RelayWaiting.cpp
+++ b/Source/Core/Gateway/RelayWaiting.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Requests that wait for a server, and those that are refused instead.
+// Requests that wait for a server, and requests that are refused because the wait would be too
+// long.
 
 #include "Gateway/Relay.h"
 
@@ -16,11 +17,11 @@
 {
 using Common::Milliseconds;
 
-/// The part of that patience that a request may wait for a server, so that the refusal still
-/// reaches somebody.
+/// The share of the caller's patience that a request may wait for a server, so that a refusal
+/// arrives before the caller disconnects.
 constexpr double WAIT_SHARE_OF_PATIENCE = 0.7;
-/// The part of the time to its deadline that a request may wait: holding an unserved request for
-/// more than half of it costs the caller its chance elsewhere.
+/// The share of the time until its deadline that a request may wait for a server. More than half of
+/// it would leave the caller too little time to retry elsewhere.
 constexpr double WAIT_SHARE_OF_DEADLINE = 0.45;
 } // namespace
 
@@ -28,7 +29,7 @@
 {
   if (!MayGoToAnother() && !m_waiting)
   {
-    // Only the servers that have seen the request may get it again, and they cannot serve it.
+    // The route allows only the servers that were already tried, and none of them can serve it now.
     const auto now = Common::Now();
     const bool hopeful = std::ranges::any_of(m_tried, [&](const InstanceId& instance) {
       const ServerPtr server = m_dispatcher.Servers().Find(instance);
@@ -36,7 +37,7 @@
     });
     if (!hopeful)
     {
-      AttemptFailed("no further server may be asked", m_may_have_run);
+      AttemptFailed("the route allows no further server", m_may_have_run);
       return;
     }
   }
@@ -67,7 +68,8 @@
     return false;
   if (m_may_have_run)
   {
-    // Whether a load comes in time is an estimate, but what a server names is known.
+    // A load that comes too late is only an estimate, but a server's own limit or Retry-After is
+    // reliable.
     if (refusal->holder)
       OnWaitExpired();
     return refusal->holder != nullptr;
@@ -124,7 +126,7 @@
   ++m_dispatcher.Counters().withdrawn;
   --m_arrivals;
   m_tried.erase(m_server->Entry().instance);
-  AttemptFailed("the server wants no requests yet", m_may_have_run);
+  AttemptFailed("the server sent a Retry-After before the request was sent", m_may_have_run);
 }
 
 void Relay::ReviewWait()
@@ -145,8 +147,8 @@
   if (m_stream_begun)
     EndWith(Outcome::BrokenOff, 0, "no server could continue the stream");
   else if (m_may_have_run)
-    Fail(502, "no other server in time: " + m_last_reason);
+    Fail(502, "no other server was available in time: " + m_last_reason);
   else
-    Refuse("no server could take it in time");
+    Refuse("no server could take the request in time");
 }
 } // namespace Gateway
--- a/Source/Core/Gateway/RetryBudget.cpp
+++ b/Source/Core/Gateway/RetryBudget.cpp
@@ -11,8 +11,9 @@
 {
 namespace
 {
-/// The part of the bound that is used: arrivals are counted at the servers, whose windows lie a
-/// little elsewhere than ours, and a daemon that restarts forgets what it has spent.
+/// The share of the bound that is used. The rest is a margin: retries are counted where they
+/// arrive, at the servers, whose windows are slightly shifted against this daemon's, and a
+/// restarted daemon has lost its count of retries.
 constexpr double USED_SHARE = 0.7;
 } // namespace
 
--- a/Source/Core/Gateway/RetryBudget.h
+++ b/Source/Core/Gateway/RetryBudget.h
@@ -11,16 +11,17 @@
 
 namespace Gateway
 {
-/// The bound on repeats that all daemons keep together.
+/// The bound on retries that all daemons together keep.
 struct RetryBudgetSettings
 {
-  double ratio = 0.2;                 ///< Repeats for each first request.
-  double slack = 10;                  ///< Repeats that are free, over all daemons.
-  Common::Milliseconds window{10000}; ///< Over which both are counted.
+  double ratio = 0.2;                 ///< Retries allowed per first request.
+  double slack = 10;                  ///< Additional retries allowed, for all daemons together.
+  Common::Milliseconds window{10000}; ///< Period over which both are counted.
 };
 
-/// This daemon's part of the retry budget of each pool. Daemons share the budget without talking:
-/// the ratio applies to each one's own requests, and the slack is divided by their number.
+/// This daemon's share of the retry budget of each pool. Daemons share the budget without
+/// communication: the ratio applies to each daemon's own requests, and the slack is divided by the
+/// number of daemons.
 class RetryBudget
 {
 public:
@@ -28,9 +29,9 @@
   void SetDaemons(int count) { m_daemons = count; }
 
   void NoteRequest(const PoolId& pool, Common::TimePoint now);
-  /// Takes one repeat; false where the budget does not allow it.
+  /// Uses up one retry; false if the budget does not allow it.
   bool Take(const PoolId& pool, Common::TimePoint now);
-  /// Repeats that could be taken now.
+  /// Retries that are allowed now.
   double Left(const PoolId& pool, Common::TimePoint now);
 
 private:
--- a/Source/UnitTests/Gateway/CallerKeysTest.cpp
+++ b/Source/UnitTests/Gateway/CallerKeysTest.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Keys of client accounts on the path of a request: who is let in, and that no key goes on.
+// API keys of client accounts: which requests are admitted, and that no key reaches a backend
+// server.
 
 #include <algorithm>
 
@@ -59,7 +60,7 @@
     dispatcher.SetConfiguration(configuration);
   }
 
-  /// Keys may be used for so long after they were taken away.
+  /// Sets for how long a key may still be used after it has been revoked.
   void LimitKeys(Milliseconds limit)
   {
     DispatcherSettings settings = dispatcher.Settings();
@@ -68,7 +69,7 @@
   }
 };
 
-/// Answers every request and keeps the heads.
+/// A server that answers every request and records the request heads.
 TestServer Echo()
 {
   return TestServer([](TestPeer& peer, const std::string& head) {
@@ -119,7 +120,8 @@
     CPPUNIT_ASSERT(head.find("two") == std::string::npos);
   }
 
-  /// A key in capitals, twice, named by Connection, behind blanks, and in a trailer.
+  /// The key header in capitals, repeated, listed in Connection, with extra whitespace, and in a
+  /// trailer.
   void NoSpellingOfTheKeyGoesOn()
   {
     KeysWorld world;
@@ -232,7 +234,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("3"), HeaderOf(server.requests.at(0), "Urgency"));
   }
 
-  /// The request came with a good key and waits for a server; until there is one, the key is gone.
+  /// The request arrives with a valid key and waits for a server; the key is revoked before a
+  /// server becomes available.
   void AKeyThatIsTakenAwayWhileItsRequestWaitsRunsNothing()
   {
     KeysWorld world;
@@ -245,10 +248,9 @@
     CPPUNIT_ASSERT(server.requests.empty());
   }
 
-  /// Symptom: a request ran with a key that had been taken away over 5 s before.
-  /// Sequence: a VM is cut off from the platform, or frozen; the operator takes a key away; the VM
-  /// goes on with the configuration that it has.
-  /// Cause: nothing bounded how long a daemon relied on a configuration that it could not compare.
+  /// Guards against a request that runs with a key that was revoked more than 5 s earlier. That
+  /// happened when a VM was cut off from the platform, or frozen, while an operator revoked the
+  /// key: nothing bounded how long a daemon used a configuration that it could not verify.
   void WithoutAProofKeysAreRefusedAtOnceAndOpenRoutesServed()
   {
     KeysWorld world;
--- a/Source/UnitTests/Gateway/CrashingRequestsTest.cpp
+++ b/Source/UnitTests/Gateway/CrashingRequestsTest.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// A request ends every backend server that begins to run it, and comes again under a fresh id. What
-// was known of a request belonged to one attempt of its caller, so each attempt ended two more
-// servers: 15 under one request and 16 under another within a minute. "attempt-failed ...
-// fingerprint=F instance=I why=broken answer" stood there once for each of them, with one F.
+// A request that crashes every backend server that runs it, and that its caller retries with a new
+// id. When crashes were recorded only per attempt of the caller, each retry crashed two more
+// servers: 15 by one request and 16 by another within a minute. The log then has one
+// "attempt-failed" event with the same fingerprint for each crashed server.
 
 #include <deque>
 #include <memory>
@@ -27,12 +27,11 @@
 using UnitTests::TestServer;
 
 constexpr const char* CRASHER = "/plain/crash";
-/// It may not be repeated: each attempt reaches one server.
+/// On a route that is not repeatable: each attempt reaches only one server.
 constexpr const char* ONCE_CRASHER = "/once/crash";
 constexpr const char* HONEST = "/plain/honest";
 
-/// Servers that end as soon as they run the crashing request. A process that has ended refuses
-/// connections.
+/// Servers that crash as soon as they run the crashing request, and then refuse connections.
 class Fleet
 {
 public:
@@ -70,7 +69,7 @@
   UnitTests::SoonCaller m_soon;
 };
 
-/// Asks, and waits for the answer; gives its head.
+/// Sends a request, waits for the response and returns its head.
 std::string AskAndWait(RelayWorld& world, const char* path, const std::string& id)
 {
   world.caller.received.clear();
@@ -90,7 +89,7 @@
   CPPUNIT_TEST(AServerThatLivesOnIsNoReason);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Blocked by what other daemons saw.
+  /// Blocks a request by a report of another daemon.
   static void Block(RelayWorld& world, const char* path, const std::string& body = "")
   {
     Crashes::CaseLine line;
@@ -100,7 +99,8 @@
     world.dispatcher.TakeCrashCases({line});
   }
 
-  /// Nothing that makes callers hurry back; and no word that it has not run where it may have.
+  /// A request that may have run gets a 502; once it is blocked, it is refused at once with a long
+  /// Retry-After.
   void ARefusalSaysWhetherItMayHaveRun()
   {
     RelayWorld world;
@@ -141,7 +141,7 @@
     CPPUNIT_ASSERT(world.CallerGot("503"));
   }
 
-  /// Answers are broken off again and again by servers that go on to serve others.
+  /// Servers that repeatedly reset connections but keep running do not get the request blocked.
   void AServerThatLivesOnIsNoReason()
   {
     RelayWorld world;
--- a/Source/UnitTests/Gateway/PartsTest.cpp
+++ b/Source/UnitTests/Gateway/PartsTest.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// The small parts of the gateway: events, retry budget, ejection, and the roster of servers.
+// Small classes of the gateway: EventSplitter, RetryBudget, ServerHealth, ServerRoster, and the
+// route lookup.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -57,7 +58,7 @@
     int taken = 0;
     while (budget.Take(pool, now))
       ++taken;
-    // 0.7 of a quarter of the slack.
+    // 0.7 of this daemon's quarter of the slack.
     CPPUNIT_ASSERT_EQUAL(7, taken);
     for (int i = 0; i < 100; ++i)
       budget.NoteRequest(pool, now);
--- a/Source/UnitTests/Gateway/RelayTest.cpp
+++ b/Source/UnitTests/Gateway/RelayTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// The relay between a caller and backend servers whose every byte the test decides: each test is a
-// hazard that backend servers showed on the users' platform.
+// The relay between a caller and backend servers whose responses are scripted byte by byte. Each
+// test reproduces a fault that backend servers showed on the users' platform.
 
 #include "Gateway/Dispatcher.h"
 
@@ -62,11 +62,11 @@
   CPPUNIT_TEST(StopAnnouncesTheClose);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Symptom: 352 of 438 bulk requests were refused after 5.6 s, and again when they came back.
-  /// Cause: they waited for models whose weights only the weight store has; a load of 13.2 s
-  /// outlasts a caller that leaves after 2 to 8 s without a word. Refused at once, the
-  /// share of what callers are owed rose by 0.096 +- 0.010 (twelve pairs, 22 servers, 1,375
-  /// models).
+  /// Guards against a long wait before a refusal: 352 of 438 bulk requests were refused after 5.6
+  /// s, and again when they were retried. They waited for models whose weights are only in the
+  /// weight store; a load takes 13.2 s, but callers disconnect after 2 to 8 s without data.
+  /// Immediate refusal raised the share of what callers are owed by 0.096 +- 0.010 (twelve pairs,
+  /// 22 servers, 1,375 models).
   void WhatTheWeightStoreBringsTooLateIsRefusedAtOnce()
   {
     World world;
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT(Common::Now() - begin < Milliseconds(250));
     const double seconds = std::stod(HeaderOf(world.caller.received, "Retry-After"));
     CPPUNIT_ASSERT(seconds >= 13.2 && seconds < 14.7);
-    // The caller is expected back, so the holder hears that the model is wanted.
+    // The caller is expected to retry, so the reported demand includes the model.
     const auto demand = world.dispatcher.TakeDemand();
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), demand.size());
     CPPUNIT_ASSERT_EQUAL(1, demand[0].waiting);
@@ -96,8 +96,8 @@
     CPPUNIT_ASSERT_EQUAL(1, world.dispatcher.TakeDemand().at(0).waiting);
   }
 
-  /// A caller leaves a silent stream; for a whole answer it waits until its deadline. A load of 5 s
-  /// fits into 8 s, though not into the 2 s of a stream's caller.
+  /// A caller disconnects from a silent stream, but waits for a complete response until its
+  /// deadline. A load of 5 s fits into a deadline of 8 s, but not into the 2 s of a stream.
   void OnlyStreamsHaveAnImpatientCaller()
   {
     World world;
@@ -198,8 +198,8 @@
     World world;
     world.AddServer("i-1", broken.Address());
     world.AddServer("i-2", sound.Address());
-    // Servers alike are drawn at random: six requests at least, then more until the broken one has
-    // got some; all of 60 pass it by once in 10^18 runs.
+    // Equal servers are chosen at random: sends at least six requests, then more until the broken
+    // server has got one. All of 60 requests miss it once in 10^18 runs.
     constexpr int MIN_REQUESTS = 6;
     constexpr int MAX_REQUESTS = 60;
     for (int i = 0; i < MIN_REQUESTS || (broken.requests.empty() && i < MAX_REQUESTS); ++i)
@@ -371,7 +371,8 @@
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(3200));
   }
 
-  /// The server starts again under its id, behind a cut, so that the stream's connection hangs.
+  /// The server restarts under its id while the network is cut, so that the stream's connection
+  /// hangs.
   void AStreamOfAnEarlierLifeEndsAndIsNotRunAgain()
   {
     int requests = 0;
--- a/Source/UnitTests/Support/LimitedFleet.cpp
+++ b/Source/UnitTests/Support/LimitedFleet.cpp
@@ -13,7 +13,7 @@
 {
 constexpr Http::Patience CALLER_PATIENCE{Milliseconds(3000), Milliseconds(3000)};
 
-/// A request that waits at all is looked at again after 40 ms.
+/// Refusals within this time count as immediate: a waiting request is retried only after 40 ms.
 constexpr Milliseconds AT_ONCE{30};
 
 std::shared_ptr<const Configuration> OnePlainRoute()
--- a/Source/UnitTests/Support/LimitedFleet.h
+++ b/Source/UnitTests/Support/LimitedFleet.h
@@ -17,44 +17,45 @@
 #include "UnitTests/Support/Loopback.h"
 #include "UnitTests/Support/RelayWorld.h"
 
-/// Several daemons, one of them the holder of the order lease, before backend servers that tell
-/// something of themselves in their answers.
+/// Several daemons, one of them the lease holder, with backend servers whose responses carry
+/// signals such as a rate limit.
 namespace UnitTests
 {
-/// A backend server that answers at once and counts what arrives.
+/// A backend server that responds immediately and records the requests that arrive.
 class LimitedServer
 {
 public:
   LimitedServer();
 
   Http::Endpoint Address() const { return m_server->Address(); }
-  /// Named in all answers from now on; empty: none.
+  /// Sets the limit that all responses announce from now on; empty: none.
   void SetLimit(std::string limit) { m_limit = std::move(limit); }
-  /// The value of the header that announces its end, in all answers from now on; empty: none.
+  /// Sets the value of the header that announces draining in all responses from now on; empty: no
+  /// such header.
   void SetDraining(std::string value) { m_draining = std::move(value); }
-  /// Rejects all requests from now on; `retry_after` stands in the answers where it is not empty.
+  /// Rejects all requests from now on, with a Retry-After of `retry_after` unless that is empty.
   void Reject(std::string retry_after);
   void Accept() { m_rejects = false; }
-  /// Requests of one daemon that arrived at `from` and later.
+  /// Counts the requests of one daemon that arrived at `from` or later.
   std::size_t ArrivalsOf(std::size_t vm, std::size_t vms, Common::TimePoint from) const;
-  /// The most requests that one daemon sent into one of the times in which the server had asked it
-  /// for none, beginning `leeway` after the answer that said so.
+  /// The most requests that one daemon sent during one Retry-After of `span`, not counting those in
+  /// the first `leeway` after the rejection.
   std::size_t WorstBackoff(std::size_t vms, Common::Milliseconds span,
                            Common::Milliseconds leeway) const;
-  /// When the daemon first got an answer that announces the server's end.
+  /// When the daemon was first sent a response that announces that the server drains.
   std::optional<Common::TimePoint> AnnouncedTo(std::size_t vm, std::size_t vms) const;
   std::size_t Arrivals() const { return m_arrivals.size(); }
   std::size_t ArrivalsSince(Common::TimePoint moment) const;
-  /// The most arrivals within `span`, of those since `from`.
+  /// The most arrivals in any window of `span` that begins at `from` or later.
   std::size_t WorstWindow(Common::Milliseconds span, Common::TimePoint from) const;
 
 private:
   struct Arrival
   {
     Common::TimePoint at;
-    std::size_t number = 0; ///< Of the request, by which its daemon is known.
+    std::size_t number = 0; ///< Of the request; modulo the number of daemons it gives the daemon.
     bool rejected = false;
-    bool announced = false; ///< The answer announced the server's end.
+    bool announced = false; ///< The response announced that the server drains.
   };
 
   std::string m_limit;
@@ -72,7 +73,7 @@
   explicit LimitedVm(const std::string& name);
 
   void AddServer(const std::string& instance, const Http::Endpoint& endpoint);
-  /// Sends a request that may be repeated.
+  /// Sends a repeatable request.
   void Ask(const std::string& id, std::function<void(int status)> on_answer);
 
   Http::Endpoint hub_endpoint;
@@ -90,12 +91,12 @@
 public:
   LimitedFleet(int vms, int servers);
 
-  /// Makes one daemon the holder and tells all others.
+  /// Makes one daemon the lease holder and informs the others.
   void SetHolder(std::size_t vm, std::int64_t fence);
-  /// So many requests a second, at the daemons in turn.
+  /// Sends `per_second` requests a second to the daemons in turn.
   void StartLoad(double per_second);
   void StopLoad() { m_load_timer.Stop(); }
-  /// All servers name the limit from now on; empty: none.
+  /// Sets the limit that all servers announce from now on; empty: none.
   void SetLimits(const std::string& limit);
   std::size_t ArrivalsSince(Common::TimePoint moment) const;
 
@@ -105,7 +106,7 @@
   int served = 0;
   int refused = 0;
   int failed = 0;
-  int refused_late = 0; ///< Refused after it has waited.
+  int refused_late = 0; ///< Refused only after a wait.
 
 private:
   void SendNext();
--- a/Source/UnitTests/Support/Loopback.h
+++ b/Source/UnitTests/Support/Loopback.h
@@ -18,17 +18,17 @@
 #include "Common/Loop.h"
 #include "Http/TcpStream.h"
 
-/// Peers on the loopback whose every byte a test decides.
+/// Scripted peers on the loopback interface, and helpers to run the main loop.
 namespace UnitTests
 {
-/// Runs the main loop until `done` or for `limit`; gives `done()`.
+/// Runs the main loop until `done` returns true, at most for `limit`; returns `done()`.
 inline bool RunUntil(const std::function<bool()>& done,
                      Common::Milliseconds limit = Common::Milliseconds(3000))
 {
   const auto end = Common::Now() + limit;
   while (!done() && Common::Now() < end)
   {
-    // Wakes the loop, so that a lost event ends in a failed check and not in a hang.
+    // Wakes the loop regularly, so that a lost event leads to a failed check and not to a hang.
     Common::Reactor::TimerId wake = Common::Reactor::Get().After(Common::Milliseconds(5), [] {});
     g_main_context_iteration(nullptr, TRUE);
     Common::Reactor::Get().Cancel(wake);
@@ -45,7 +45,7 @@
       span);
 }
 
-/// Calls back soon, unless it is gone by then.
+/// Calls a function after 1 ms, unless this object has been destroyed by then.
 class SoonCaller
 {
 public:
@@ -62,7 +62,7 @@
   std::shared_ptr<bool> m_alive = std::make_shared<bool>(true);
 };
 
-/// One connection of a test, its received bytes kept.
+/// One connection of a test; records the received bytes.
 class TestPeer : public Http::StreamEvents
 {
 public:
@@ -87,8 +87,8 @@
   BytesHandler on_bytes;
 };
 
-/// Accepts connections; for each whole request head (requests of tests have no body unless the
-/// handler reads it) the handler is called with the connection.
+/// Accepts connections and calls the handler for each complete request head. Request bodies are not
+/// parsed; a handler that expects one has to read it.
 class TestServer
 {
 public:
@@ -130,7 +130,7 @@
   Http::TcpListener m_listener;
 };
 
-/// Answers every request with one body, sent at the speed of a link of 10 Mbit/s.
+/// Answers every request with the same body, sent at the speed of a 10 Mbit/s link.
 class PacedServer
 {
 public:
@@ -145,7 +145,7 @@
 
   Http::Endpoint Address() const { return m_server.Address(); }
   std::size_t Calls() const { return m_server.requests.size(); }
-  /// From here on nothing more is sent of an answer.
+  /// Stops sending each response after its first `bytes` bytes.
   void FallSilentAfter(std::size_t bytes) { m_limit = bytes; }
 
 private:
@@ -180,7 +180,7 @@
   TestServer m_server;
 };
 
-/// A port of the loopback that is free for datagrams now.
+/// A loopback endpoint whose UDP port is currently free.
 inline Http::Endpoint FreeDatagramEndpoint()
 {
   const int fd = socket(AF_INET, SOCK_DGRAM, 0);
@@ -192,7 +192,7 @@
   return Http::Endpoint::FromSockaddr(address);
 }
 
-/// The value of a header in a raw head; empty where it is missing.
+/// The value of a header in a raw message head; empty if the header is missing.
 inline std::string HeaderOf(const std::string& head, const std::string& name)
 {
   const auto at = head.find("\r\n" + name + ": ");
