--- a/Source/Core/Crashes/CrashCase.h
+++ b/Source/Core/Crashes/CrashCase.h
@@ -10,20 +10,20 @@
 #include "Common/Units.h"
 #include "Crashes/Fingerprint.h"
 
-/// What daemons tell each other of requests that end servers. Times are ages, since daemons have no
-/// clock in common.
+/// Messages between daemons about requests that crash servers. Times are sent as ages, because
+/// daemons share no clock.
 namespace Crashes
 {
-/// One life of one backend server's process.
+/// Identifies one incarnation of a backend server's process.
 using ServerLife = Common::StrongId<struct ServerLifeTag>;
 
-/// A server's life that ended while it had the request.
+/// A server process that exited while it processed the request.
 struct EndingLine
 {
   ServerLife server;
   std::int64_t age_ms = 0;
-  std::int64_t sent_age_ms = 0;      ///< Since the request had been sent there.
-  std::vector<Common::VmId> seen_by; ///< Some of the VMs whose requests were there.
+  std::int64_t sent_age_ms = 0;      ///< Since the request was sent to the server.
+  std::vector<Common::VmId> seen_by; ///< Some of the VMs that observed the exit.
 
   template <typename Archive>
   void serialize(Archive& archive)
@@ -32,13 +32,13 @@
   }
 };
 
-/// All that is known of one request.
+/// The state of one suspected request.
 struct CaseLine
 {
   Fingerprint request;
   std::vector<EndingLine> endings;
-  std::int64_t survived_age_ms = -1; ///< Since a server last ran it to a good end; -1: none did.
-  std::int64_t blocked_for_ms = 0;   ///< So long no server gets it; 0: it is not blocked.
+  std::int64_t survived_age_ms = -1; ///< Since its last successful completion; -1 if none.
+  std::int64_t blocked_for_ms = 0;   ///< Remaining time of the block; 0 if it is not blocked.
   std::int32_t blocks = 0;           ///< How often it has been blocked.
 
   template <typename Archive>
@@ -48,6 +48,6 @@
   }
 };
 
-/// "SERVER AGE s ago, seen by VM VM; ...", for logs.
+/// Formats the list for logs: "SERVER AGE ms ago, seen by VM VM; ...".
 std::string Describe(const std::vector<EndingLine>& endings);
 } // namespace Crashes
--- a/Source/Core/Crashes/CrashLedger.cpp
+++ b/Source/Core/Crashes/CrashLedger.cpp
@@ -15,15 +15,17 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-/// Witnesses that are kept of one ending.
+/// Maximum VMs recorded as observers of one exit.
 constexpr std::size_t MAX_WITNESSES = 4;
-/// Endings that are kept of one request: three block it, and a few more come meanwhile.
+/// Maximum exits recorded per request. Three block it, and a few more may follow before all daemons
+/// apply the block.
 constexpr std::size_t MAX_ENDINGS = 16;
-/// Doublings after which the longest block is reached.
+/// Number of doublings after which the longest block is reached.
 constexpr int MAX_DOUBLINGS = 6;
-/// How often what is old is looked for.
+/// Interval at which old cases are removed.
 constexpr Milliseconds PRUNE_INTERVAL{60000};
-/// Bytes of a case in a message besides its endings, and of an ending, at most.
+/// Upper bounds for the encoded size of a case without its exits, and of one exit without its
+/// names.
 constexpr std::size_t CASE_BYTES = 64;
 constexpr std::size_t ENDING_BYTES = 30;
 
@@ -106,7 +108,7 @@
 
 void CrashLedger::NoteSurvival(const Fingerprint& request, TimePoint now)
 {
-  // Told to others; more often than this tells them nothing.
+  // Each recorded completion is sent to the other daemons; more frequent ones add no information.
   constexpr Milliseconds REPEAT_AFTER = CrashLedger::TRUSTED_FOR / 3;
   const auto found = m_cases.find(request);
   if (found == m_cases.end())
@@ -153,7 +155,7 @@
   if (line.survived_age_ms >= 0)
   {
     const TimePoint survived_at = now - Milliseconds(line.survived_age_ms);
-    // A repeat of the same word dates it a little later.
+    // A repeated message yields a slightly later time for the same completion.
     constexpr Milliseconds SAME{2000};
     if (!entry.survived_at || survived_at > *entry.survived_at + SAME)
     {
@@ -209,11 +211,11 @@
     const bool is_old = entry.blocks > 0 && ending->at <= entry.blocked_until;
     ++(is_old ? before_last_block : since);
   }
-  // After a block one more ending is enough for the next.
+  // After a block, a single further exit triggers the next one.
   return std::min(before_last_block, EndingsToBlock(entry) - 1) + since;
 }
 
-/// It was blocked by a daemon that did not know of its good end.
+/// True if the block came from a daemon that did not know of the request's successful completion.
 bool CrashLedger::IsBlockedTooEarly(const Case& entry)
 {
   return entry.survived_at && entry.blocks <= 1 && entry.endings.size() < ENDINGS_OF_SURVIVOR;
@@ -303,7 +305,7 @@
   return news;
 }
 
-/// One ending under a request is the holder's to remember: most are never seen again.
+/// A case with a single exit stays at the lease holder, since most such requests never recur.
 bool CrashLedger::ConcernsAll(const Case& entry)
 {
   return entry.endings.size() > 1 || entry.blocks > 0 || entry.survived_at;
@@ -365,7 +367,7 @@
   });
   if (kept.size() < MAX_CASES)
     return;
-  // A quarter at once, so that this is rare.
+  // Evicts a quarter of the cases at once, so that this happens rarely.
   const auto end = kept.begin() + static_cast<std::ptrdiff_t>(MAX_CASES / 4);
   std::ranges::nth_element(kept, end);
   std::for_each(kept.begin(), end, [this](const auto& entry) {
--- a/Source/Core/Crashes/Fingerprint.cpp
+++ b/Source/Core/Crashes/Fingerprint.cpp
@@ -15,7 +15,7 @@
 {
 namespace
 {
-constexpr std::size_t DIGITS = 16; ///< Of one half.
+constexpr std::size_t DIGITS = 16; ///< Hexadecimal digits of one 64-bit half.
 
 struct ChecksumDeleter
 {
@@ -23,7 +23,7 @@
 };
 using Checksum = std::unique_ptr<GChecksum, ChecksumDeleter>;
 
-/// The length goes first, so that no part can run into the next.
+/// Adds the part with a length prefix, so that different splits into parts yield different hashes.
 void Add(GChecksum* checksum, std::string_view part)
 {
   const std::uint64_t size = part.size();
--- a/Source/Core/Crashes/Fingerprint.h
+++ b/Source/Core/Crashes/Fingerprint.h
@@ -8,26 +8,26 @@
 #include <string>
 #include <string_view>
 
-/// Requests that end the backend servers that run them, and how they are recognised when they come
-/// again.
+/// Detection of requests that crash backend servers.
 namespace Crashes
 {
-/// What makes two requests the same. Other headers may differ: ids, times and hints do each time.
+/// The parts of a request that identify it. Headers are not included, because ids, times and hints
+/// differ each time a request is sent.
 struct RequestIdentity
 {
-  std::string_view account; ///< Empty where callers have none: then all are one caller.
+  std::string_view account; ///< Empty if callers have no accounts.
   std::string_view method;
   std::string_view host;
   std::string_view target; ///< Path and query.
   std::string_view body;
 };
 
-/// The same for all requests with one identity; others may have it too. Some hundred times quicker
-/// to make than a fingerprint.
+/// Non-cryptographic hash of a request's identity. Different requests may share a key. About a
+/// hundred times faster to compute than a fingerprint.
 using QuickKey = std::uint64_t;
 
-/// Stands for all requests with one identity, in logs and messages too, which must not hold a
-/// request's body. Cryptographic, so that nobody makes a request that is taken for another's.
+/// Cryptographic hash of a request's identity, so that no caller can construct a request that
+/// matches another caller's. Also used in logs and messages, which must not contain request bodies.
 struct Fingerprint
 {
   std::uint64_t high = 0;
@@ -36,7 +36,7 @@
 
   auto operator<=>(const Fingerprint&) const = default;
 
-  /// 32 hexadecimal digits, without the quick key.
+  /// 32 hexadecimal digits; the quick key is not included.
   std::string ToString() const;
 
   template <typename Archive>
@@ -46,7 +46,8 @@
   }
 };
 
-/// Alone no proof: by it most requests are told not to be a known one.
+/// A matching key does not prove that two requests are the same. It is a fast check that rules out
+/// most requests that are not known.
 QuickKey QuickKeyOf(const RequestIdentity& identity);
 Fingerprint FingerprintOf(const RequestIdentity& identity);
 } // namespace Crashes
--- a/Source/Core/Crashes/RecentSuccesses.cpp
+++ b/Source/Core/Crashes/RecentSuccesses.cpp
@@ -14,7 +14,7 @@
     const auto [noted_at, oldest] = m_by_age.front();
     m_by_age.pop_front();
     const auto last = m_last.find(oldest);
-    // It may have succeeded again since.
+    // The request may have a more recent success, which is kept.
     if (last != m_last.end() && last->second == noted_at)
       m_last.erase(last);
   }
--- a/Source/Core/Crashes/RecentSuccesses.h
+++ b/Source/Core/Crashes/RecentSuccesses.h
@@ -15,15 +15,15 @@
 
 namespace Crashes
 {
-
-/// When servers last ran requests to a good end. What ends every server that runs it is not among
-/// them. A request that many callers send the same is at many servers when these end, and by this
-/// it is told apart.
+/// Records when requests last completed successfully. This separates identical requests of many
+/// callers, which are in progress on many servers when these exit, from a request that crashes
+/// every server and never completes.
 class RecentSuccesses
 {
 public:
   static constexpr Common::Milliseconds MEMORY{std::chrono::minutes(10)};
-  /// Beyond, the oldest go. Some 5 MB; at 120 requests a second nine minutes.
+  /// Maximum number of entries, about 5 MB, or nine minutes at 120 requests per second. Beyond it,
+  /// the oldest are evicted.
   static constexpr std::size_t MAX_KEPT = 65536;
 
   void Note(QuickKey request, Common::TimePoint now);
--- a/Source/UnitTests/Crashes/CrashLedgerTest.cpp
+++ b/Source/UnitTests/Crashes/CrashLedgerTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Which request is to blame for the servers that ended, from what several daemons saw, in whatever
-// order and however often it is told.
+// Tests which requests are blocked for server exits, based on the observations of several daemons,
+// whatever the order in which messages arrive and however often.
 
 #include "Crashes/CrashLedger.h"
 
@@ -21,7 +21,7 @@
 
 constexpr Fingerprint CRASHER{1, 1, 10};
 constexpr Fingerprint BESIDE{2, 2, 20};
-/// From its sending to the end of the server.
+/// Time from sending the request to the exit of the server.
 constexpr Milliseconds RUN{300};
 constexpr std::size_t ALL_BYTES = 1 << 20;
 
@@ -54,7 +54,7 @@
   {
     return ledger.Judge(request, m_now).blocked;
   }
-  /// One daemon tells another all that concerns it.
+  /// Sends all cases that one daemon shares to another.
   void Tell(const CrashLedger& from, CrashLedger& to) const
   {
     for (const CaseLine& line : from.SeenHereSince(0, ALL_BYTES, m_now).lines)
@@ -141,7 +141,8 @@
     CPPUNIT_ASSERT_EQUAL(0, daemon.Judge(CRASHER, m_now).endings);
   }
 
-  /// An honest request met the crashing one at servers again and again, between runs to a good end.
+  /// A harmless request repeatedly runs on the same servers as a crashing one, and completes
+  /// successfully in between.
   void WhoWasOnlyBesideIsNotBlocked()
   {
     CrashLedger ledger;
@@ -157,7 +158,7 @@
     CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
   }
 
-  /// Another daemon knows that it has run to a good end, and says so when it hears of the block.
+  /// Another daemon knows of a successful completion and reports it when it receives the block.
   void AnEarlierGoodEndTakesTheBlockBack()
   {
     CrashLedger ledger;
@@ -172,14 +173,14 @@
     CPPUNIT_ASSERT(!IsBlocked(other, BESIDE));
     Tell(other, ledger);
     CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
-    // Old word of the block changes nothing, and five endings do.
+    // The request was cleared by a success, so five exits are needed to block it.
     End(ledger, BESIDE, 4);
     CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
     End(ledger, BESIDE, 5);
     CPPUNIT_ASSERT(IsBlocked(ledger, BESIDE));
   }
 
-  /// The servers of one rack end within some ms, and a request that many callers send was at each.
+  /// The servers of one rack exit within a few ms while each runs a request that many callers send.
   void ServersThatEndTogetherCountOnce()
   {
     CrashLedger ledger;
@@ -209,7 +210,7 @@
       End(ledger, CRASHER, life);
     m_now += CrashLedger::FIRST_BLOCK;
     CPPUNIT_ASSERT(!IsBlocked(ledger, CRASHER));
-    // Word of the old endings does not block it again.
+    // Messages about the old exits do not block it again.
     CrashLedger other;
     Tell(ledger, other);
     Tell(other, ledger);
@@ -231,8 +232,8 @@
     CPPUNIT_ASSERT(!ledger.MayKnow(100));
   }
 
-  /// A new VM's clock begins at its boot, and what others saw before that lies before its
-  /// beginning.
+  /// A VM's clock starts at its boot, so exits that others observed before that have negative
+  /// times.
   void EndingsFromBeforeTheBootCount()
   {
     CrashLedger others;
--- a/Source/UnitTests/Crashes/CrashReplayTest.cpp
+++ b/Source/UnitTests/Crashes/CrashReplayTest.cpp
@@ -1,10 +1,11 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// A day of crashing servers in virtual time, seen by six daemons that hear of each other after 0.3
-// s: requests that end each server that begins to run them, beside honest ones, many of which are
-// sent again and again, the same each time, while servers end by themselves too. What is refused
-// wrongly, and what each number of endings before a block costs in servers.
+// Simulates crashing servers in virtual time, observed by six daemons that exchange their
+// observations with a delay of 0.3 s. Some requests crash every server that starts to run them;
+// others are harmless, and many of these are sent repeatedly with identical content. Servers also
+// exit for other reasons. Measures how many harmless requests are refused, and how many servers are
+// lost for each number of exits before a block.
 
 #include <algorithm>
 #include <array>
@@ -33,25 +34,26 @@
 constexpr Milliseconds STEP{5};
 constexpr Milliseconds CALM{30000};
 
-/// Until the others know what one daemon saw.
+/// Delay until the other daemons receive an observation.
 constexpr Milliseconds WORD_TAKES{300};
 constexpr Milliseconds SERVER_DOWN{4000};
-constexpr std::uint64_t HONEST_GAP_MS = 15; ///< About 65 a second.
+constexpr std::uint64_t HONEST_GAP_MS = 15; ///< About 65 per second.
 constexpr std::uint64_t CRASHER_GAP_MS = 500;
 constexpr Milliseconds HONEST_RUN{800};
 constexpr Milliseconds CRASHER_RUN{60};
-/// Honest requests that come again and again, the same; half of all honest ones.
+/// Number of distinct harmless requests that are sent repeatedly. They make up half of all harmless
+/// requests.
 constexpr std::uint64_t REPEATED = 40;
-constexpr int MAX_SENDS = 2; ///< Of one attempt.
+constexpr int MAX_SENDS = 2; ///< Sends per request.
 
 struct Load
 {
   std::uint64_t crashers = 3;
-  /// Before the crashing requests begin.
+  /// Time before the first crashing request.
   Milliseconds calm = CALM;
-  /// Each server ends by itself about so often; 0: never.
+  /// Mean time between exits of one server for other reasons; 0: never.
   Milliseconds own_end_every{0};
-  /// A rack, a third of the servers, ends about so often; 0: never.
+  /// Mean time between exits of a rack, a third of the servers; 0: never.
   Milliseconds rack_end_every{0};
 };
 
@@ -59,9 +61,9 @@
 {
   std::int64_t honest = 0;
   std::int64_t honest_refused = 0;
-  std::int64_t crashers_ended = 0; ///< Servers, by crashing requests.
+  std::int64_t crashers_ended = 0; ///< Servers lost to crashing requests.
   std::int64_t most_by_one = 0;
-  std::int64_t late_sends = 0; ///< Most of one, later than 3 s after its third end.
+  std::int64_t late_sends = 0; ///< Maximum per request, more than 3 s after its third crash.
 };
 
 class Replay
@@ -131,7 +133,7 @@
 
   std::uint64_t Draw(std::uint64_t bound) { return m_random() % bound; }
 
-  /// False where it was refused for the servers that ended.
+  /// Returns false if the request is blocked for crashing servers.
   bool Send(const Fingerprint& request, bool is_crasher, int sends, std::size_t daemon)
   {
     if (m_ledgers[daemon].Judge(request, m_now).blocked)
@@ -226,7 +228,7 @@
         ++m_outcome.honest_refused;
   }
 
-  /// What a daemon saw goes to all others, as the holder passes it on.
+  /// Sends a daemon's observations to all others, as the lease holder would forward them.
   void Tell(std::size_t daemon, std::uint64_t since)
   {
     constexpr std::size_t ALL_BYTES = 1 << 20;
@@ -302,16 +304,16 @@
   CPPUNIT_TEST(CrashersWhileRacksEnd);
   CPPUNIT_TEST_SUITE_END();
 
-  /// The platform allows three late sends; honest requests, also those that are the same each time,
-  /// are to be refused for this less than once in a thousand.
+  /// The platform allows three late sends. Fewer than one in a thousand harmless requests may be
+  /// refused, including repeated identical ones.
   static void Check(const char* name, const Load& load)
   {
     for (const int endings : {2, CrashLedger::ENDINGS_TO_BLOCK})
     {
       const Outcome outcome = Sum(load, endings);
-      CPPUNIT_NS::stdCOut() << name << ": blocked after " << endings << ": honest refused "
+      CPPUNIT_NS::stdCOut() << name << ": blocked after " << endings << ": harmless refused "
                             << outcome.honest_refused << " of " << outcome.honest
-                            << ", servers ended " << outcome.crashers_ended << ", most by one "
+                            << ", servers crashed " << outcome.crashers_ended << ", most by one "
                             << outcome.most_by_one << ", late sends " << outcome.late_sends << "\n";
       if (endings < CrashLedger::ENDINGS_TO_BLOCK)
         continue;
@@ -320,14 +322,14 @@
     }
   }
 
-  void CrashersAlone() { Check("crashers alone", {}); }
+  void CrashersAlone() { Check("crashing requests alone", {}); }
   void CrashersOnADayOfCrashingServers()
   {
-    Check("each server ends every 30 s", {3, CALM, Milliseconds(30000), Milliseconds(0)});
+    Check("each server exits every 30 s", {3, CALM, Milliseconds(30000), Milliseconds(0)});
   }
   void CrashersWhileRacksEnd()
   {
-    Check("a rack ends every 20 s", {3, CALM, Milliseconds(0), Milliseconds(20000)});
+    Check("a rack exits every 20 s", {3, CALM, Milliseconds(0), Milliseconds(20000)});
   }
 };
 
--- a/Source/UnitTests/Crashes/FingerprintTest.cpp
+++ b/Source/UnitTests/Crashes/FingerprintTest.cpp
@@ -36,7 +36,7 @@
     CPPUNIT_ASSERT(FingerprintOf(IDENTITY) == FingerprintOf(IDENTITY));
   }
 
-  /// One caller must not be able to make its request look like another's.
+  /// No caller may be able to construct a request with the fingerprint of another caller's request.
   void NoPartRunsIntoTheNext()
   {
     CPPUNIT_ASSERT(FingerprintOf({"ab", "", "", "", ""}) != FingerprintOf({"a", "b", "", "", ""}));
