--- a/Source/Core/Orders/CrashArchive.cpp
+++ b/Source/Core/Orders/CrashArchive.cpp
@@ -18,15 +18,15 @@
 {
 using Common::Milliseconds;
 
-/// The platform takes rows of 64 KB.
+/// Below the platform's limit of 64 KB per row.
 constexpr std::size_t MAX_ROW_BYTES = 48000;
-/// After a write that failed, or met another's, twice as long each time; and spread, as all daemons
-/// that had requests at a server may write at once.
+/// Initial delay after a write that failed or conflicted; doubles with each failure. Jitter is
+/// added, since all daemons that had requests at a server may write at the same time.
 constexpr std::int64_t FIRST_PAUSE_MS = 150;
 constexpr int MAX_DOUBLINGS = 4;
 
-/// The time of day: of all daemons that ever wrote or will read the row, they have no other clock
-/// in common. It may be wrong by seconds, which is little against the time of a block.
+/// Wall-clock time, the only clock shared by all writers and readers of the row. An error of a few
+/// seconds is small compared with the duration of a block.
 std::int64_t UnixMs()
 {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -97,7 +97,7 @@
   std::string value = Daemons::Encode(archived);
   while (value.size() > MAX_ROW_BYTES)
   {
-    // The least come last.
+    // The least important cases are at the end.
     archived.cases.resize(archived.cases.size() / 2);
     value = Daemons::Encode(archived);
   }
--- a/Source/Core/Orders/CrashArchive.h
+++ b/Source/Core/Orders/CrashArchive.h
@@ -18,10 +18,11 @@
 
 namespace Orders
 {
-/// The row's value. VMs keep nothing, so what must outlast all of them lies in the store.
+/// The value of the archive row. VMs have no persistent state, so data that must survive the loss
+/// of all of them is kept in the store.
 struct ArchivedCases
 {
-  std::int64_t written_at = 0; ///< Unix milliseconds of the writer; the cases' ages count from it.
+  std::int64_t written_at = 0; ///< Writer's Unix time in ms; ages in `cases` are relative to it.
   std::vector<Crashes::CaseLine> cases;
 
   template <typename Archive>
@@ -31,35 +32,37 @@
   }
 };
 
-/// The row as it was read.
+/// The row as read from the store, still encoded.
 struct ArchiveRow
 {
-  std::int64_t version = 0; ///< 0: it is absent.
+  std::int64_t version = 0; ///< 0 if the row is absent.
   std::string value;
 };
 
-/// How the row is read and written.
+/// Access to the archive row in the store.
 struct ArchiveAccess
 {
   std::function<void(std::function<void(Common::Result<ArchiveRow>)>)> read;
-  /// Puts the row if it still has the expected version (0: it is absent); gives its new version.
+  /// Compare-and-set: writes the row if it still has the expected version (0 if it must be absent)
+  /// and returns its new version.
   std::function<void(std::int64_t, const std::string&,
                      std::function<void(Common::Result<std::int64_t>)>)>
       replace;
 };
 
-/// Who may write the row now, and what.
+/// Decides whether a daemon may write the row, and which cases it writes.
 enum class ArchiveRole
 {
   Reader,
-  Holder, ///< Writes what is blocked: the store is told of few things only.
-  /// No holder is heard: what each daemon saw goes through the store, so that the endings that
-  /// several saw still add up.
+  Holder, ///< Writes the row only when blocked requests change, to keep the number of writes low.
+  /// No lease holder is reachable: daemons exchange their observations through the row, so that
+  /// server endings observed by different daemons still add up.
   Orphan,
 };
 
-/// Keeps requests that end servers in one row of the platform's store: for daemons that start, for
-/// all daemons after all were killed, and in place of the holder's word where there is none.
+/// Persists the requests that crash backend servers in one row of the platform's store. The row
+/// initializes daemons that start, survives the loss of all daemons, and replaces the holder's
+/// announcements while there is no holder.
 class CrashArchive
 {
 public:
@@ -68,14 +71,14 @@
   {
   }
 
-  /// The row as the store tells it.
+  /// Handles a new version of the row.
   void OnRow(const ArchiveRow& row);
-  /// Writes what is new, where this daemon may.
+  /// Writes the row if the ledger has changed and the role permits it.
   void Tick(ArchiveRole role, Common::TimePoint now);
 
 private:
-  /// What of a case makes the row worth a write: its request, times blocked, and for an orphan its
-  /// endings.
+  /// The parts of a case whose change triggers a write: the request, how many times it was blocked
+  /// and, for an orphan, the number of server endings. For a holder only blocked cases count.
   using Essence = std::set<std::tuple<Crashes::Fingerprint, std::int32_t, std::size_t>>;
 
   static Essence EssenceOf(const std::vector<Crashes::CaseLine>& cases, ArchiveRole role);
@@ -87,9 +90,9 @@
   Gateway::Dispatcher& m_dispatcher;
   ArchiveAccess m_access;
   std::int64_t m_version = 0;
-  std::uint64_t m_seen_revision = 0; ///< Of the ledger, when the row was last compared with it.
+  std::uint64_t m_seen_revision = 0; ///< Ledger revision at the last comparison with the row.
   ArchiveRole m_seen_as = ArchiveRole::Reader;
-  std::vector<Crashes::CaseLine> m_row; ///< As it was last written or read.
+  std::vector<Crashes::CaseLine> m_row; ///< Cases of the row as last written or read.
   std::vector<Crashes::CaseLine> m_on_its_way;
   bool m_calling = false;
   int m_failures = 0;
--- a/Source/Core/Orders/DaemonCount.h
+++ b/Source/Core/Orders/DaemonCount.h
@@ -11,18 +11,22 @@
 
 namespace Orders
 {
-/// How many daemons there are, as the holders of the lease tell. A new holder has heard of few, and
-/// at times no holder is heard at all, while all daemons go on. So the number rises at once and
-/// falls only when nothing higher was told for long.
+/// Number of daemons, as announced by the lease holders. A new holder has received reports from
+/// only a few daemons, and at times there is no holder at all, although all daemons keep running.
+/// The number therefore rises at once and falls only if no higher number was announced for
+/// `MEMORY`.
 class DaemonCount
 {
 public:
-  /// Until the first words are trusted: the size that the system is designed for, so that the first
-  /// daemons to start spend no more than their part of what is bounded for all together.
+  /// Assumed until the announced number has settled: the size that the system is designed for, so
+  /// that the first daemons to start stay within their share of limits that apply to all daemons
+  /// together.
   static constexpr int BEFORE_ANY_WORD = 330;
-  /// A holder hears of every daemon within so long: several of their longest report intervals.
+  /// Time within which a holder receives a report from every daemon: several times the longest
+  /// report interval.
   static constexpr Common::Milliseconds SETTLING{2000};
-  /// Several times the window of the retry budget, and longer than a holder is usually missed.
+  /// How long a higher number is kept: several times the window of the retry budget, and longer
+  /// than the usual gap between two holders.
   static constexpr Common::Milliseconds MEMORY{60000};
 
   void Tell(int daemons, Common::TimePoint now)
@@ -35,10 +39,10 @@
     m_told_at = now;
   }
 
-  /// The best guess.
+  /// The best current estimate.
   int Get() const { return m_daemons; }
 
-  /// For dividing what all daemons together may spend; too high is safe.
+  /// The divisor for limits that all daemons share. An estimate that is too high is safe.
   int ForSharing(Common::TimePoint now) const
   {
     const bool settled = m_first_word && now - *m_first_word >= SETTLING;
@@ -47,7 +51,7 @@
 
 private:
   int m_daemons = 1;
-  Common::TimePoint m_told_at; ///< When this number was last told.
+  Common::TimePoint m_told_at; ///< When this number was last announced.
   std::optional<Common::TimePoint> m_first_word;
 };
 } // namespace Orders
--- a/Source/Core/Orders/FlightBook.h
+++ b/Source/Core/Orders/FlightBook.h
@@ -14,7 +14,7 @@
 
 namespace Orders
 {
-/// Open requests of all daemons at one backend server.
+/// Open requests at one backend server, summed over all daemons.
 struct ServerLoad
 {
   struct ModelCount
@@ -23,23 +23,23 @@
     std::int32_t count = 0;
   };
   std::int32_t in_flight = 0;
-  std::vector<ModelCount> by_model; ///< A server holds a few models: a search costs nothing.
+  std::vector<ModelCount> by_model; ///< Few models per server, so a linear search is cheap.
 
   std::int32_t InFlight(const Gateway::ModelId& model) const;
 };
 
-/// The open requests of all daemons, summed up by server. Each report changes the sums by what
-/// differs from its daemon's report before, so a look costs nothing: with 300 daemons the sums over
-/// all reports, made anew for each plan, were a third of the plan's time.
+/// Open requests of all daemons, summed per server. The sums are updated incrementally by the
+/// difference between a daemon's report and its previous one: with 300 daemons, recomputing them
+/// from all reports for each plan took a third of the planning time.
 class FlightBook
 {
 public:
-  /// A daemon's present loads, in place of those that it told before.
+  /// Replaces the loads that the daemon reported before.
   void Take(const Common::VmId& daemon, const std::vector<LoadLine>& loads);
-  /// The daemon is silent: its requests are not counted any more.
+  /// Removes the requests of a daemon that no longer reports.
   void Drop(const Common::VmId& daemon) { Take(daemon, {}); }
 
-  /// The sums for one server; they stay at their address while the book exists.
+  /// The sums for one server. The reference stays valid for the lifetime of this object.
   const ServerLoad& Of(const Gateway::InstanceId& instance) { return m_servers[instance]; }
   const std::unordered_map<Gateway::InstanceId, ServerLoad>& All() const { return m_servers; }
 
--- a/Source/Core/Orders/LeaseKeeper.h
+++ b/Source/Core/Orders/LeaseKeeper.h
@@ -17,24 +17,26 @@
 #include "Common/Reactor.h"
 #include "Common/Units.h"
 
-/// Who may order backend servers to load and unload models: the holder of one lease in the
-/// platform's store. The lease's row changes only by compare-and-set. A holder counts its time from
-/// the moment at which it sent the renewal, an observer from the moment at which it saw the row
-/// change, so that the holder's time is over first, without clocks in common.
+/// Only the holder of one lease in the platform's store may order backend servers to load and
+/// unload models. The lease row changes only by compare-and-set. The holder measures the lease
+/// duration from when it sent the renewal, observers from when they saw the row change, so that the
+/// lease expires at the holder first without synchronized clocks.
 namespace Orders
 {
-/// The value of the lease's row.
+/// The value of the lease row.
 struct LeaseRecord
 {
-  Common::VmId holder; ///< Empty where the lease was given back.
+  Common::VmId holder; ///< Empty if the lease was released.
   Common::Incarnation run;
-  std::string address; ///< IP:PORT at which the holder takes reports.
-  /// The pause after the holder before is over. Without it the row may stem from a write whose
-  /// answer was lost, by a daemon that never knew it had the lease: the pause is still owed.
+  std::string address; ///< IP:PORT at which the holder receives reports.
+  /// The pause after the previous holder is over. While false, the row may come from a write whose
+  /// answer was lost, so that its daemon never learned that it held the lease; the pause must still
+  /// be observed.
   bool ordering = false;
 };
 
-/// Writes the lease's row if it still has the expected version (0: it is absent).
+/// Compare-and-set of the lease row: writes it if it still has the expected version (0 if it must
+/// be absent).
 template <typename T>
 concept LeaseStore = requires(T store, std::int64_t version, const LeaseRecord& record,
                               std::function<void(Common::Result<std::int64_t>)> done)
@@ -47,11 +49,12 @@
   Common::VmId self;
   Common::Incarnation run;
   std::string address;
-  /// How long a holder may act after it sent the last renewal that succeeded.
+  /// How long a holder may act after sending its last successful renewal.
   Common::Milliseconds duration{4000};
-  /// Between the last order of one holder and the first of the next, at one server.
+  /// Minimum time between the last order of one holder and the first order of the next.
   Common::Milliseconds holder_pause{3000};
-  /// A free lease is left to others for so long: a weak VM serves the others badly as the holder.
+  /// Delay before this daemon takes a free lease. Weak VMs wait longer, because they perform poorly
+  /// as the holder.
   Common::Milliseconds handicap{0};
 };
 
@@ -66,7 +69,7 @@
 
   void Start() { Tick(); }
 
-  /// The row as the store tells it; version 0 where it is absent.
+  /// Handles the row as read from the store; `version` is 0 if it is absent.
   void OnRow(std::int64_t version, std::optional<LeaseRecord> record)
   {
     if (m_seen && version <= m_version)
@@ -79,8 +82,9 @@
       DropIfNotOurs();
   }
 
-  /// The holder's own word: the row has this version, and it acts no longer than so without another
-  /// renewal. The word may be late, never early, so its time is an upper bound here too.
+  /// Handles an announcement by the holder: the row has this version, and the holder stops acting
+  /// after `left` unless it renews. A message can only be delayed, so `left` is an upper bound here
+  /// too.
   void OnHolderWord(std::int64_t version, const LeaseRecord& record, Common::Milliseconds left)
   {
     if (!m_seen || version < m_version || m_fence || m_writing)
@@ -91,11 +95,11 @@
     m_record = record;
   }
 
-  /// The store does not answer this daemon: taking the lease is not tried, since the write could
-  /// not succeed and is priced all the same.
+  /// The store does not answer this daemon. It makes no attempt to take the lease, since the write
+  /// could not succeed and would still be billed.
   void OnStoreLost() { m_store_lost = true; }
-  /// The store answers again. All daemons learn of it at about the same moment, so the order in
-  /// which they try begins anew: the last holder first, which need not wait out the pause between
+  /// The store answers again. All daemons detect this at about the same time, so the delays before
+  /// taking the lease restart: first the last holder, which need not wait for the pause between
   /// holders, then strong VMs.
   void OnStoreBack()
   {
@@ -106,80 +110,83 @@
     m_retry_at = {};
   }
 
-  /// Stops ordering for good under the present row, without writing it: the store is out of reach.
+  /// Gives up the lease without writing the row, because the store is unreachable. No orders are
+  /// sent any more under the current fence.
   void Abdicate()
   {
     if (m_fence)
-      Lose("the store does not answer");
+      Lose("store unreachable");
   }
 
   std::int64_t RowVersion() const { return m_version; }
-  /// How long this holder may still act without another renewal.
+  /// Remaining time for which this holder may act without another renewal.
   Common::Milliseconds Left(Common::TimePoint now) const
   {
     return std::max(std::chrono::ceil<Common::Milliseconds>(m_valid_until - now),
                     Common::Milliseconds(0));
   }
 
-  /// The lease is ours now, whether or not orders may go out yet.
+  /// Whether this daemon holds the lease, even if it may not send orders yet.
   bool Holds(Common::TimePoint now) const { return m_fence && now < m_valid_until - STOP_MARGIN; }
-  /// Orders may go out now. Asked right before each order, since the process may have been frozen.
+  /// Whether orders may be sent now. Must be checked right before each order, since the process may
+  /// have been frozen.
   bool MayOrder(Common::TimePoint now) const { return Holds(now) && now >= m_orders_from; }
-  /// Without another renewal no order goes out from then on.
+  /// When this holder must stop sending orders unless it renews.
   Common::TimePoint OrdersUntil() const { return m_valid_until - STOP_MARGIN; }
   std::int64_t Fence() const { return m_fence.value_or(0); }
   const std::optional<LeaseRecord>& Record() const { return m_record; }
 
-  /// Daemons that may want the lease, and the handicap of the fittest of them.
+  /// Sets the number of daemons that may contend for the lease and the lowest handicap among them.
   void SetContenders(int daemons, Common::Milliseconds least_handicap)
   {
     m_contenders = static_cast<std::uint64_t>(std::max(daemons, 1));
     m_least_handicap = least_handicap;
   }
 
-  /// Gives the lease back: the next holder need not wait for it to run out.
+  /// Releases the lease, so that the next holder need not wait for it to expire.
   void Release()
   {
     m_released = true;
     m_timer.Stop();
     const bool held = m_fence.has_value();
     m_fence.reset();
-    // A write on its way gives the row another version: the lease is given back behind it.
+    // A pending write will change the row's version, so the lease is released after it completes.
     if (held && !m_writing)
       GiveBack();
   }
 
 private:
-  /// How often the keeper looks at the lease.
+  /// Interval at which the state of the lease is checked.
   static constexpr Common::Milliseconds TICK{200};
-  /// The lease is renewed when this part of its duration has passed.
+  /// Fraction of the duration after which the lease is renewed.
   static constexpr double RENEW_AT = 0.4;
-  /// The holder stops so long before its time is over: an order needs time to arrive.
+  /// The holder stops this long before its lease expires, because orders take time to arrive.
   static constexpr Common::Milliseconds STOP_MARGIN{150};
-  /// An observer waits so much longer than the duration.
+  /// How much longer than the duration an observer waits before it treats the lease as free.
   static constexpr Common::Milliseconds TAKE_MARGIN{250};
-  /// After a failed write a daemon without the lease waits, twice as long each time: while the
-  /// store is out, every daemon's attempts cost and none can succeed.
+  /// Initial delay after a failed write by a daemon without the lease; doubles with each failure.
+  /// During an outage of the store the attempts of every daemon are billed and none can succeed.
   static constexpr Common::Milliseconds FIRST_RETRY{100};
   static constexpr int MAX_RETRY_DOUBLINGS = 3;
-  /// Daemons that find the lease free do not all write at once.
+  /// Random delay, so that daemons that find the lease free do not all write at once.
   static constexpr std::uint64_t SPREAD_MS = 250;
   static constexpr std::uint64_t SPREAD_MS_PER_DAEMON = 10;
-  /// After an outage of the store a lease that was not given back is left to its last holder for so
-  /// long: daemons learn up to a second apart that the store is back, and the pause between two
-  /// holders would cost three. Worth on three kinds of outage: +0.015 +- 0.016 to +0.068 +- 0.011
-  /// (8 paired plays each, together with the time limit of connections and the gathered changes).
+  /// After an outage of the store, a lease that was not released is reserved for its last holder
+  /// for this long: daemons detect the store's return up to a second apart, and the pause between
+  /// two holders would cost three seconds. Measured gain for three kinds of outage: +0.015 +- 0.016
+  /// to +0.068 +- 0.011 (8 paired runs each, together with the connection time limit and the
+  /// gathering of table changes).
   static constexpr Common::Milliseconds RECLAIM_TIME{1200};
-  /// A second loss within this time counts as one of several.
+  /// Losses of the lease that are at most this far apart are counted together.
   static constexpr Common::Milliseconds LOSS_MEMORY{15000};
-  /// The handicap of a VM that loses the lease often, in its usual one.
+  /// Factor applied to the handicap of a VM that loses the lease repeatedly.
   static constexpr int HANDICAP_AFTER_LOSSES = 2;
 
   void Tick()
   {
     const auto now = Common::Now();
     if (m_fence && !Holds(now))
-      Lose("it ran out");
+      Lose("lease expired");
     if (!m_writing && m_seen)
       Act(now);
     m_timer.Start(TICK, [this] {
@@ -209,13 +216,13 @@
       Write(now, "acquired");
   }
 
-  /// How long a free lease is left to others. Who had it last need not wait out the pause between
-  /// holders and so goes first, unless its VM is weak. Who has lost it more than once of late goes
-  /// after its peers: its VM does not bear the work.
+  /// Delay before this daemon takes a free lease. The last holder need not wait for the pause
+  /// between holders and therefore goes first, unless its VM is weak. A daemon that has lost the
+  /// lease more than once recently goes after the others, because its VM cannot sustain the work.
   Common::Milliseconds WaitBeforeTaking(Common::TimePoint now) const
   {
     const bool loses_often = m_losses > 1 && now - m_lost_at < LOSS_MEMORY;
-    // Where all VMs are alike weak, nobody need wait.
+    // If all VMs are equally weak, none has to wait.
     const auto beyond = std::max(m_settings.handicap - m_least_handicap, Common::Milliseconds(0));
     const auto handicap = loses_often ? m_settings.handicap * HANDICAP_AFTER_LOSSES : beyond;
     if (IsOurs())
@@ -282,7 +289,7 @@
       return;
     m_fence = *result;
     m_free_since.reset();
-    // The holder before may have ordered until its time was over.
+    // The previous holder may have sent orders until its lease expired.
     m_orders_from = follows_another ? now + m_settings.holder_pause : now;
     Common::LogEvent(Common::LogLevel::Info, "lease-acquired",
                      {{"fence", *m_fence}, {"how", what}, {"after_another", follows_another}});
@@ -300,7 +307,7 @@
   {
     const bool ours = IsOurs() && m_record->run == m_settings.run;
     if (m_fence && !ours)
-      Lose("another daemon has it");
+      Lose("held by another daemon");
   }
 
   void Lose(const char* why)
@@ -318,20 +325,21 @@
   bool m_seen = false;
   std::int64_t m_version = 0;
   std::optional<LeaseRecord> m_record;
-  Common::TimePoint m_free_at; ///< From then on its holder, if another, cannot act any more.
-  std::optional<std::int64_t> m_fence; ///< The row's version when we acquired it.
+  Common::TimePoint m_free_at; ///< When another daemon's lease has certainly expired.
+  std::optional<std::int64_t>
+      m_fence; ///< The row's version at acquisition, if this daemon holds it.
   Common::TimePoint m_valid_until;
   Common::TimePoint m_orders_from;
   std::optional<Common::TimePoint> m_free_since;
   int m_write_failures = 0;
   Common::TimePoint m_retry_at;
-  Common::TimePoint m_reclaimed_until; ///< The lease is left to its last holder.
+  Common::TimePoint m_reclaimed_until; ///< Until then the lease is reserved for its last holder.
   std::uint64_t m_contenders = 1;
   Common::Milliseconds m_least_handicap{0};
   bool m_writing = false;
   bool m_released = false;
   bool m_store_lost = false;
-  int m_losses = 0; ///< Of the lease, each within the memory of the one before.
+  int m_losses = 0; ///< Losses of the lease, each within `LOSS_MEMORY` of the previous one.
   Common::TimePoint m_lost_at;
   Common::OwnedTimer m_timer;
 };
--- a/Source/Core/Orders/OrderDesk.cpp
+++ b/Source/Core/Orders/OrderDesk.cpp
@@ -22,20 +22,21 @@
 using Gateway::Server;
 using Gateway::ServerPtr;
 
-/// News from daemons waits so long for more before a plan is made.
+/// Delay before planning, so that reports arriving close together are handled by one plan.
 constexpr Milliseconds PLAN_DELAY{6};
-/// A daemon that is silent for so long is not counted any more.
+/// A daemon without a report for this long is no longer counted.
 constexpr Milliseconds DAEMON_SILENT_AFTER{1500};
-/// An accepted order should show in the server's entry after its usual time and this; then the
-/// server is asked.
+/// Time after which an accepted order should be visible in the server's entry. Once it has passed,
+/// the server's report is read.
 constexpr Milliseconds ENTRY_SLACK{600};
-/// An order that shows no effect for so long after its usual time is given up.
+/// An order is abandoned if it shows no effect within twice its usual time plus this.
 constexpr Milliseconds GIVE_UP_AFTER{6000};
-/// A server that could not be reached or misdirected an order gets none for a while.
+/// How long a server gets no orders after it was unreachable or rejected one as fenced, malformed
+/// or meant for another instance.
 constexpr Milliseconds UNREACHABLE_PAUSE{1000};
-/// A load takes longer to show than an unload: so much is added before the server is asked.
+/// Added to `ENTRY_SLACK` for loads, which take longer to become visible than unloads.
 constexpr Milliseconds LOAD_SLACK{1000};
-/// Beginnings of loads that are remembered; far more than the bounded window holds.
+/// Number of load start times kept; far more than the rate limit allows within its window.
 constexpr std::size_t REMEMBERED_LOADS = 1000;
 
 const char* ToString(Decisions::WeightSource source)
@@ -210,7 +211,7 @@
   }
   if (open.in_exchange || now < open.next_check)
     return;
-  // A load that was not taken is of no use there any more.
+  // A load that was not accepted yet is useless on a draining server.
   if (wanted && !open.accepted && server->IsDraining())
   {
     CloseOrder(server->Entry().instance, book, "draining");
@@ -328,7 +329,7 @@
     open.next_check = now + ENTRY_SLACK;
     break;
   case OrderAnswer::Busy:
-    // The sequence is not what we think, or an order that went unanswered is being done.
+    // The expected sequence is wrong, or an earlier unanswered order is being carried out.
     CloseOrder(instance, book, ToString(*answer));
     break;
   case OrderAnswer::OtherServer:
@@ -372,13 +373,14 @@
   book.sequence = std::max(book.sequence, report->order_sequence);
   if (holds == wanted && (moved || open.accepted))
   {
-    // The entry follows; until then the directory would contradict what is known here.
+    // Wait for the entry to be updated; until then the server directory contradicts this report.
     open.accepted = true;
     return;
   }
   if (report->busy || open.accepted)
     return;
-  // Nothing shows that the order was taken. Sent again, at most one of the copies takes effect.
+  // Nothing indicates that the order was accepted. If it is sent again, at most one copy takes
+  // effect.
   SendOpen(server, book);
 }
 
--- a/Source/Core/Orders/OrderDesk.h
+++ b/Source/Core/Orders/OrderDesk.h
@@ -23,7 +23,7 @@
 
 namespace Orders
 {
-/// One order to a backend server.
+/// One order to a backend server, as sent.
 struct OrderCall
 {
   enum class Operation
@@ -35,58 +35,59 @@
   Http::Endpoint endpoint;
   Operation operation = Operation::Load;
   Gateway::Artifact artifact;
-  std::int64_t expected_sequence = 0; ///< Orders that the server must have taken before.
+  std::int64_t expected_sequence = 0; ///< Orders the server must have accepted before.
   std::int64_t fence = 0;
-  Common::TimePoint send_before; ///< The holder may not act from then on: nothing goes out.
+  Common::TimePoint send_before; ///< Not sent later: the holder's permission ends then.
 };
 
-/// What the lease allows at this moment.
+/// Permission to send orders under the current lease.
 struct OrderPermit
 {
   std::int64_t fence = 0;
-  Common::TimePoint until; ///< Without another renewal.
+  Common::TimePoint until; ///< Unless the lease is renewed.
 };
 
 enum class OrderAnswer
 {
-  Accepted,    ///< It is being done.
-  AlreadySo,   ///< It holds already.
-  Busy,        ///< Another order is under way, or the sequence differs.
+  Accepted,    ///< The order is being carried out.
+  AlreadySo,   ///< The server is already in the requested state.
+  Busy,        ///< Another order is in progress, or the expected sequence does not match.
   Fenced,      ///< The server has seen a higher fence.
-  OtherServer, ///< Another instance has the address.
+  OtherServer, ///< Another instance uses the address.
   Malformed,
 };
 const char* ToString(OrderAnswer answer);
 
-/// What a backend server reports of itself, some hundred ms old.
+/// A backend server's report on itself; the data is a few hundred ms old.
 struct ServerReport
 {
   std::int64_t order_sequence = 0;
   bool busy = false; ///< An order is being carried out.
   std::vector<Gateway::LoadedModel> models;
-  std::vector<Gateway::Artifact> coming; ///< Adapters that are on their way.
-  Gateway::ServerStart started{};        ///< Of the life that reports; 0 where it does not tell.
+  std::vector<Gateway::Artifact> coming; ///< Adapters that are being loaded.
+  Gateway::ServerStart started{};        ///< Start of the reporting process; 0 if not reported.
 };
 
-/// How orders reach backend servers; the platform's part.
+/// Transport of orders to backend servers, implemented by the platform layer.
 struct OrderChannel
 {
   std::function<void(const OrderCall&, std::function<void(Common::Result<OrderAnswer>)>)> send;
   std::function<void(const Gateway::InstanceId&, const Http::Endpoint&,
                      std::function<void(Common::Result<ServerReport>)>)>
       read_report;
-  /// Resets all calls on their way; their callbacks are not called any more.
+  /// Aborts all pending calls; their callbacks are no longer invoked.
   std::function<void()> abandon;
 };
 
 struct OrderDeskSettings
 {
-  double load_window_s = 5; ///< Over which loads from the weight store are bounded.
+  double load_window_s = 5; ///< Window of the rate limit on loads from the weight store.
 };
 
-/// Plans and gives the orders of the lease's holder, and keeps account of what became of them. Each
-/// order names the sequence that it expects, so of several orders for one sequence at most one
-/// takes effect, however late it arrives: what an unanswered order may still load never adds up.
+/// Plans and sends the orders of the lease holder and tracks their outcomes. Each order contains
+/// the sequence it expects, so at most one of several orders with the same sequence takes effect,
+/// however late it arrives. The memory that unanswered orders may still claim therefore does not
+/// add up.
 class OrderDesk
 {
 public:
@@ -94,38 +95,42 @@
 
   void Configure(const OrderDeskSettings& settings) { m_settings = settings; }
   void SetConfiguration(std::shared_ptr<const Gateway::Configuration> configuration);
-  /// Asked before each order.
+  /// Sets the callback that is queried before each order.
   void SetPermission(std::function<std::optional<OrderPermit>()> permit)
   {
     m_permit = std::move(permit);
   }
-  /// Called when daemons should hear of a change in placement.
+  /// Sets the callback for placement changes that must be announced to the daemons.
   void OnPlacementChange(std::function<void()> callback) { m_on_placement = std::move(callback); }
 
   void TakeReport(const DaemonReport& report, Common::TimePoint now);
-  /// Looks at the demand and gives orders.
+  /// Plans for the current demand and sends the resulting orders.
   void Plan(Common::TimePoint now);
-  /// Plans within some ms, however often it is asked for.
+  /// Schedules one plan within a few ms; calls until then are coalesced.
   void PlanSoon();
-  /// Starts anew: another daemon held the lease meanwhile.
+  /// Discards the state of all servers, because another daemon may have held the lease meanwhile.
   void Forget();
-  /// The lease is lost: an order on its way must not arrive while the next holder acts.
+  /// Called when the lease is lost: a pending order must not arrive while the next holder acts.
   void Abandon() { m_channel.abandon(); }
 
-  /// What daemons should know of the servers beyond their entries.
+  /// Per server, what daemons need to know beyond its entry: usable adapters, models about to be
+  /// unloaded, and loads from the weight store.
   std::vector<PlacementLine> Placements() const;
-  /// Open requests of all daemons.
+  /// Open requests of all daemons per server.
   const FlightBook& Flights() const { return m_flights; }
 
-  /// Orders by what became of them, and loads by where the weights came from.
+  /// Counts of orders by outcome, loads by weight source, passed-over models by obstacle, and
+  /// reports with demand for unknown models.
   const std::map<std::string, std::int64_t>& Counters() const { return m_counters; }
 
 private:
-  /// Accepted adapters are usable after some ms; requests that come too early are rejected.
+  /// Time from the acceptance of an adapter load until the adapter is usable. The server rejects
+  /// requests that arrive earlier.
   static constexpr Common::Milliseconds ADAPTER_LOAD_TIME{90};
-  /// A server whose state is not clear is asked so often.
+  /// Interval at which a server whose state is unclear is queried.
   static constexpr Common::Milliseconds CHECK_PAUSE{350};
-  /// What follows an unload on its server: more unloads, then the load that they make room for.
+  /// Orders that follow an unload on the same server: further unloads, then the load that they make
+  /// room for.
   struct NextOrders
   {
     std::vector<Gateway::ModelId> unloads;
@@ -137,13 +142,13 @@
     Common::TimePoint first_sent;
     Common::TimePoint next_check;
     bool accepted = false;
-    bool in_exchange = false; ///< A call or a report is on its way.
+    bool in_exchange = false; ///< A call or a report query is pending.
     NextOrders next;
     Decisions::WeightSource source = Decisions::WeightSource::WeightStore;
     std::uint64_t id = 0;
   };
-  /// A load that was never answered. It may still take effect, and in a later life of its server
-  /// too, once that has taken as many orders as it expects.
+  /// A load that was never answered. It may still take effect, even after a restart of the server
+  /// once the restarted server has accepted as many orders as the load expects.
   struct LateLoad
   {
     Gateway::ModelId model;
@@ -157,61 +162,63 @@
   struct ServerBook
   {
     std::int64_t sequence = 0;
-    /// The server's own word on its sequence and state is needed before an order: at the beginning
-    /// of a tenure, and after anything that did not go as expected.
+    /// Whether the server's sequence and state are known. If not, its report is needed before an
+    /// order: after the lease was acquired and after any order with an unexpected outcome.
     bool state_known = false;
     bool report_asked = false;
     Common::TimePoint next_report;
     std::vector<Gateway::ModelId> reported_models;
-    bool held_changed = true; ///< What it holds is to be told to the plan's book.
+    bool held_changed = true; ///< `PlanBook::SetHeld` must be called.
     std::optional<OpenOrder> open;
-    std::vector<LateLoad> unanswered_loads; ///< Of this life, where at most one takes effect.
-    std::vector<LateLoad> late_loads;       ///< Of earlier lives.
+    std::vector<LateLoad> unanswered_loads; ///< Since the last restart; at most one takes effect.
+    std::vector<LateLoad> late_loads;       ///< From before the last restart.
     bool adapter_in_exchange = false;
     Common::TimePoint unusable_until;
     Common::TimePoint last_adapter_order;
     std::map<Gateway::ModelId, Common::TimePoint> loaded_since;
     std::map<Gateway::Artifact, AdapterBook> adapters;
-    std::set<Gateway::Artifact>
-        dropped_adapters; ///< Unloaded, though the entry may still name them.
-    std::set<Gateway::Artifact> leaving_adapters; ///< About to be unloaded: no new requests.
+    std::set<Gateway::Artifact> dropped_adapters; ///< Unloaded, but the entry may still list them.
+    std::set<Gateway::Artifact> leaving_adapters; ///< About to be unloaded; get no new requests.
   };
   struct DaemonBook
   {
     DaemonReport last;
     Common::TimePoint heard_at;
   };
-  /// One server with all that is kept of it, so that a plan looks nothing up by name.
+  /// One server with references to its state, so that planning needs no lookups by name.
   struct Slot
   {
     Gateway::ServerPtr server;
     ServerBook* book = nullptr;
-    PlanBook* plan = nullptr; ///< Of its pool; nullptr where that has no model engines.
+    PlanBook* plan = nullptr; ///< Of its pool; nullptr if the pool has no model engine.
     Decisions::ServerIndex index{};
-    std::uint64_t entry_revision = 0; ///< Of the entry that was last looked at.
+    std::uint64_t entry_revision = 0; ///< Revision of the entry last processed.
   };
 
   void DropSilentDaemons(Common::TimePoint now);
   void SumBackoffs();
-  /// Makes the slots and the plans' books anew where servers or the configuration have changed.
+  /// Rebuilds the slots and the servers of all plans if the set of servers or the configuration has
+  /// changed.
   void RefreshSlots();
   void RefreshSlot(Slot& slot, Common::TimePoint now);
   static LateLoad LateLoadOf(const OpenOrder& order);
   static bool IsLoadUnderWay(const OpenOrder& order);
   static void NoteUnanswered(ServerBook& book, const OpenOrder& order, Common::TimePoint now);
-  /// Drops the books of servers that are gone or live anew.
+  /// Removes the state of servers that are gone or have restarted. Loads that may still take effect
+  /// after a restart are carried over.
   void DropBooks();
   double LateLoadsMb(const Gateway::Pool& pool, const ServerBook& book,
                      Common::TimePoint now) const;
-  /// True where a report is the word of the life that is meant. One of a later life ends this one:
-  /// nothing goes there until its entry tells what it is.
+  /// Whether the report comes from the given instance, not from the server before or after a
+  /// restart. A report from after a restart marks the instance as replaced: it gets nothing more
+  /// until the new entry arrives.
   bool IsOfThisLife(const Gateway::InstanceId& instance, const ServerReport& report);
   static void RefreshBook(const Gateway::Server& server, ServerBook& book, Common::TimePoint now);
   static std::vector<HeldModel> HeldModels(const ServerBook& book, Common::TimePoint now);
-  /// Models of servers with a limit are held elsewhere too, unless most servers have one: then
-  /// there is no elsewhere.
+  /// Whether models of servers with a request limit should be loaded on other servers too. False if
+  /// more than half of the servers are limited, since too few others are left.
   bool MayPlanAround(const PlanBook& plan, Common::TimePoint now) const;
-  /// True where at least half of the daemons back off from the server for long.
+  /// Whether at least half of the daemons report a long backoff from the server.
   bool IsBackedOffFrom(const Gateway::Server& server) const;
   ServerState StateOf(const Gateway::Pool& pool, const Slot& slot, bool plan_around_limits,
                       Common::TimePoint now) const;
@@ -229,7 +236,7 @@
   void Give(const Gateway::ServerPtr& server, OrderCall::Operation operation,
             const Gateway::ModelId& model, NextOrders next, Decisions::WeightSource source,
             const std::string& reason);
-  /// The order that follows one that is done.
+  /// Sends the order that follows a completed one, if any.
   void GiveNext(const Gateway::ServerPtr& server, const OpenOrder& done);
   void SendOpen(const Gateway::ServerPtr& server, ServerBook& book);
   void TakeAnswer(const Gateway::InstanceId& instance, std::uint64_t id,
@@ -245,11 +252,11 @@
   void TakeAdapterAnswer(const Gateway::InstanceId& instance, OrderCall call,
                          Common::Result<OrderAnswer> answer);
 
-  /// Tells the daemons of adapters once they are usable.
+  /// Announces loaded adapters to the daemons once they are usable.
   void AnnounceAdapters();
-  /// Adapters that requests wait for.
+  /// Adapters for which requests are waiting.
   std::set<Gateway::Artifact> WaitingAdapters(const Gateway::PoolId& pool) const;
-  /// The pool's servers that hold the model.
+  /// The pool's servers on which the model is loaded.
   std::vector<const Slot*> Holders(const Gateway::PoolId& pool,
                                    const Gateway::ModelId& model) const;
   std::vector<Gateway::Artifact> AdaptersOn(const Gateway::Server& server,
@@ -264,13 +271,13 @@
   std::map<Gateway::InstanceId, ServerBook> m_books;
   std::map<Common::VmId, DaemonBook> m_daemons;
   FlightBook m_flights;
-  std::map<ServerHash, int> m_backing_off; ///< Daemons that tell it of a server.
+  std::map<ServerHash, int> m_backing_off; ///< Number of daemons backing off from each server.
   std::map<Gateway::PoolId, PlanBook> m_plans;
   std::vector<Slot> m_slots;
-  std::uint64_t m_slots_revision = 0; ///< Of the servers that the slots were made from; 0: none.
+  std::uint64_t m_slots_revision = 0; ///< Server directory revision of `m_slots`; 0 if none.
   std::map<Gateway::Artifact, Common::TimePoint> m_adapter_wanted;
-  bool m_unknown_logged = false; ///< Demand for a model that the configuration lacks.
-  /// When each model that is passed over was last logged.
+  bool m_unknown_logged = false; ///< Demand for an unconfigured model was logged.
+  /// When each passed-over model was last logged.
   std::map<Gateway::ModelId, Common::TimePoint> m_passed_over_logged;
   std::deque<Common::TimePoint> m_store_loads;
   std::uint64_t m_next_order = 1;
--- a/Source/Core/Orders/OrderDeskAdapters.cpp
+++ b/Source/Core/Orders/OrderDeskAdapters.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// The desk's orders for adapters.
+// OrderDesk: orders to load and unload adapters.
 
 #include "Orders/OrderDesk.h"
 
@@ -22,9 +22,9 @@
 using Gateway::Server;
 using Gateway::ServerPtr;
 
-/// An adapter that was wanted this lately is not given up for another.
+/// An adapter with demand within this time is not unloaded to make room for another.
 constexpr Milliseconds ADAPTER_MIN_IDLE{1500};
-/// Adapters that may be on their way to one server at once (of the platform's engines: four).
+/// Adapter loads that may be in progress on one server at once. The platform's engines allow four.
 constexpr int ADAPTERS_COMING = 2;
 } // namespace
 
@@ -119,7 +119,8 @@
   book.adapter_in_exchange = true;
   if (operation == OrderCall::Operation::Unload)
   {
-    // Daemons stop sending for it before it goes. It takes its slot until the server has confirmed.
+    // Announced before the unload, so that daemons stop sending requests for the adapter. It
+    // occupies its slot until the server has confirmed the unload.
     book.leaving_adapters.insert(artifact);
     if (m_on_placement)
       m_on_placement();
@@ -158,7 +159,8 @@
     book.sequence = std::max(book.sequence, call.expected_sequence + 1);
   if (!is_load)
   {
-    // An adapter in use goes when its last request has ended; then the server's entry shows it.
+    // An adapter in use is unloaded when its last request has ended; the server's entry then shows
+    // it.
     if (*answer == OrderAnswer::AlreadySo)
     {
       book.leaving_adapters.erase(call.artifact);
--- a/Source/Core/Orders/OrderDeskPlan.cpp
+++ b/Source/Core/Orders/OrderDeskPlan.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// What the desk knows, as the input of the replica plan.
+// OrderDesk: input of the replica planner and execution of its plans.
 
 #include "Orders/OrderDesk.h"
 
@@ -21,13 +21,13 @@
 using Gateway::ModelId;
 using Gateway::Server;
 
-/// Loads from the weight store at once: beyond it each takes longer in proportion.
+/// Concurrent loads from the weight store. With more, each load takes proportionally longer.
 constexpr int STORE_LOADS_AT_ONCE = 4;
 
-/// A model that is passed over by plan after plan is logged so often.
+/// Minimum interval between log lines for a model that successive plans pass over.
 constexpr Common::Milliseconds PASSED_OVER_LOG_PAUSE{1000};
 
-/// What the order is for, for the log.
+/// The reason for the order, for the log.
 std::string ReasonOf(const PlanBook& plan, const Decisions::PlannedOrder& order, int waiting)
 {
   if (order.for_model)
--- a/Source/Core/Orders/OrderDeskServers.cpp
+++ b/Source/Core/Orders/OrderDeskServers.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// What the desk knows of each backend server in its present life.
+// OrderDesk: state of each backend server since its last restart.
 
 #include "Orders/OrderDesk.h"
 
@@ -23,8 +23,8 @@
 using Gateway::Server;
 using Gateway::ServerPtr;
 
-/// A server may carry out an order that it never answered so much later: beyond the longest pause
-/// that stand-ins and plays have shown, 12 s.
+/// How long after an unanswered order a server may still carry it out. The longest pause observed
+/// with stand-in servers and in scenarios was 12 s.
 constexpr Milliseconds LATE_ORDER_LIMIT{12000};
 } // namespace
 
@@ -99,8 +99,8 @@
   ServerBook& book = *slot.book;
   if (slot.entry_revision == slot.server->EntryRevision() && !book.held_changed)
     return;
-  // Also after a report: what the entry names is the entry's from now on. Where the report's word
-  // stayed beside it, a model that was unloaded later counted as held for ever.
+  // Needed after a report too: models listed in the entry must be dropped from `reported_models`.
+  // Otherwise a model that is unloaded later would count as held forever.
   RefreshBook(*slot.server, book, now);
   if (slot.plan != nullptr)
     slot.plan->SetHeld(slot.index, HeldModels(book, now));
@@ -133,7 +133,7 @@
   std::vector<HeldModel> held;
   for (const auto& [model, since] : book.loaded_since)
     held.push_back({model, since});
-  // What only the server's report names takes memory all the same; its entry follows.
+  // Models listed only in the server's report take memory too; the entry will list them later.
   for (const ModelId& model : book.reported_models)
     if (!book.loaded_since.contains(model))
       held.push_back({model, now});
--- a/Source/Core/Orders/PlacementLog.h
+++ b/Source/Core/Orders/PlacementLog.h
@@ -12,23 +12,26 @@
 
 namespace Orders
 {
-/// Placements that the holder passes on.
+/// The part of the placements that changed between two versions, as sent by the lease holder.
 struct PlacementNews
 {
-  std::uint64_t from = 0; ///< The lines that changed after this version,
-  std::uint64_t to = 0;   ///< up to this one, are all here.
+  /// `lines` is complete for the versions after `from` up to and including `to`.
+  std::uint64_t from = 0;
+  std::uint64_t to = 0;
   std::vector<PlacementLine> lines;
 };
 
-/// The placements as the holder last knew them, each with the version at which it changed last.
+/// The current placement of each server with the version of its last change. Kept by the lease
+/// holder.
 class PlacementLog
 {
 public:
-  /// Takes all placements there are; servers that are missing have none any more.
+  /// Replaces all placements; servers that are missing from `lines` no longer have one.
   void Update(std::vector<PlacementLine> lines);
 
-  /// The lines that changed after a version, oldest first, up to `max_bytes` of them. The rest
-  /// follows when the receiver has come that far: how many there are has no limit, a message has.
+  /// The lines that changed after `version`, oldest first, up to `max_bytes` in total. A message
+  /// has a size limit but the number of lines has none, so the receiver gets the rest once it has
+  /// reached `PlacementNews::to`.
   PlacementNews Since(std::uint64_t version, std::size_t max_bytes) const;
   PlacementNews Since(std::uint64_t version) const { return Since(version, SIZE_MAX); }
 
@@ -40,7 +43,8 @@
   };
 
   std::map<Gateway::InstanceId, VersionedLine> m_lines;
-  std::map<std::uint64_t, Gateway::InstanceId> m_by_version; ///< The newest change of each line.
+  std::map<std::uint64_t, Gateway::InstanceId>
+      m_by_version; ///< One entry per line: the version of its last change.
   std::uint64_t m_version = 1;
 };
 } // namespace Orders
--- a/Source/Core/Orders/PlanBook.cpp
+++ b/Source/Core/Orders/PlanBook.cpp
@@ -62,7 +62,7 @@
     model.from_store = spec.load_from_store;
     largest_adapter_mb = std::max(largest_adapter_mb, spec.adapter_mb);
   }
-  // Every slot counts as taken, so that an adapter that comes never exceeds the memory.
+  // Memory is reserved for every adapter slot, so that loading an adapter never exceeds the limit.
   m_adapters_mb = engine.adapter_slots * largest_adapter_mb;
 }
 
--- a/Source/Core/Orders/PlanBook.h
+++ b/Source/Core/Orders/PlanBook.h
@@ -18,48 +18,53 @@
 
 namespace Orders
 {
-/// What the desk knows of one server beyond its entry, as a plan needs it.
+/// State of one server that the planner needs in addition to the server's entry.
 struct ServerState
 {
   bool usable = true;
   bool order_open = false;
-  /// It takes no more from all daemons together, and has for a while.
+  /// Limit on the requests of all daemons together; set only once it has been in force for a while.
+  /// 0 if at least half of the daemons back off from
+  /// the server.
   std::optional<double> requests_per_second;
-  std::optional<Gateway::ModelId> loading; ///< On its way, or next after an unload.
-  double reserved_mb = 0;                  ///< That late orders may still take.
+  std::optional<Gateway::ModelId>
+      loading;            ///< Being loaded, or to be loaded after the unload under way.
+  double reserved_mb = 0; ///< Memory that late orders may still occupy.
   bool draining = false;
 };
 
-/// A model that a server holds, since when.
+/// A model that a server holds, and since when.
 struct HeldModel
 {
   Gateway::ModelId model;
   Common::TimePoint since;
 };
 
-/// The plan's input for one pool, kept up to date by events: names become positions where they come
-/// in, and a plan looks at each server and model once. Built anew from maps of names for each plan
-/// it took 24 to 47 ms for 256 servers, 1,375 models and 100 to 600 waiting requests.
+/// Maintains the planner's input for one pool incrementally. Names are mapped to indices on
+/// arrival, so that a plan visits each server and model once. Rebuilding the input from maps keyed
+/// by name took 24 to 47 ms per plan with 256 servers, 1,375 models and 100 to 600 waiting
+/// requests.
 class PlanBook
 {
 public:
-  /// The pool's models and bounds as the operators' configuration has them now.
+  /// Sets the pool's models and limits from the current configuration.
   void Configure(const Gateway::Pool& pool);
-  /// Starts anew with these servers, in this order.
+  /// Replaces all servers and discards their state. `ServerIndex` follows the order given.
   void SetServers(std::vector<Gateway::ServerPtr> servers, FlightBook& flights);
   const std::vector<Gateway::ServerPtr>& Servers() const { return m_servers; }
 
-  /// A daemon's demand for models of this pool, in place of what it told before: arrivals add to
-  /// the rates, what waits is counted until the next report. False where the model is unknown.
+  /// Handles a daemon's demand for models of this pool: arrivals are added to the rates, and the
+  /// waiting requests replace those of its previous report. False if any model is not in the
+  /// configuration.
   bool TakeDemand(const Common::VmId& daemon, const std::vector<DemandLine>& lines,
                   Common::TimePoint now);
   void DropDaemon(const Common::VmId& daemon) { m_waiting.erase(daemon); }
 
-  /// The server's entry or what it holds has changed.
+  /// Called when the server's entry or its loaded models have changed.
   void SetHeld(Decisions::ServerIndex server, const std::vector<HeldModel>& held);
   void SetState(Decisions::ServerIndex server, const ServerState& state);
 
-  /// The input as of now; valid until the next call.
+  /// The input as of `now`. The reference is valid until the next call.
   const Decisions::ReplicaPlanInput& Input(Common::TimePoint now, int store_loads_allowed);
 
   const Gateway::ModelId& NameOf(Decisions::ModelIndex model) const
@@ -72,7 +77,7 @@
   }
 
 private:
-  /// Time constant of the arrival rates: short against the minutes over which demand moves on.
+  /// Time constant of the arrival rates, short compared with the minutes over which demand shifts.
   static constexpr double RATE_SECONDS = 8;
 
   struct Rate
@@ -90,7 +95,7 @@
     Common::TimePoint oldest_since;
   };
 
-  /// The model's position; a name that the configuration lacks gets one too, as not listed.
+  /// The model's index. A model that is not in the configuration gets one too, with `listed` false.
   Decisions::ModelIndex Intern(const Gateway::ModelId& model);
   void SumDemand(Common::TimePoint now);
   void SumFlights();
@@ -99,10 +104,10 @@
   Decisions::ReplicaPlanInput m_input;
   std::vector<Gateway::ModelId> m_names;
   std::vector<Rate> m_rates;
-  std::vector<Decisions::UnservedDemand> m_unserved; ///< Of each model.
+  std::vector<Decisions::UnservedDemand> m_unserved; ///< By `ModelIndex`.
   std::unordered_map<Gateway::ModelId, Decisions::ModelIndex> m_models;
   std::vector<Gateway::ServerPtr> m_servers;
-  std::vector<const ServerLoad*> m_loads; ///< Of each server.
+  std::vector<const ServerLoad*> m_loads; ///< By `ServerIndex`.
   std::map<Common::VmId, std::vector<WaitingLine>> m_waiting;
   double m_memory_mb = 0;
   double m_adapters_mb = 0;
--- a/Source/UnitTests/Orders/CrashArchiveTest.cpp
+++ b/Source/UnitTests/Orders/CrashArchiveTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// What is known of requests that end servers outlasts all daemons in one row of the store, and
-// takes the holder's place where none is heard.
+// Records of requests that crash backend servers survive the loss of all daemons in one row of the
+// store, through which daemons also exchange them while there is no lease holder.
 
 #include "Orders/CrashArchive.h"
 
@@ -19,7 +19,7 @@
 
 constexpr Fingerprint CRASHER{7, 7, 7};
 
-/// The row, which daemons read and write.
+/// The archive row shared by the daemons of a test.
 struct FakeRow
 {
   ArchiveAccess Access()
@@ -76,7 +76,7 @@
   CPPUNIT_TEST(ARowThatCannotBeReadChangesNothing);
   CPPUNIT_TEST_SUITE_END();
 
-  /// All daemons are killed at once; the request comes again to the new ones.
+  /// All daemons are killed at once, and the same request is sent to the new ones.
   void ADaemonThatStartsKnowsWhatIsBlocked()
   {
     FakeRow row;
@@ -114,7 +114,7 @@
     first.EndUnder(2);
     second.EndUnder(3);
     first.archive.Tick(ArchiveRole::Orphan, Common::Now());
-    // It has not read the row yet: its write meets the other's, and it reads it then.
+    // `second` has not read the row yet: its write conflicts, which makes it read the row.
     second.archive.Tick(ArchiveRole::Orphan, Common::Now());
     CPPUNIT_ASSERT(second.IsBlocked());
     UnitTests::RunFor(Milliseconds(400));
--- a/Source/UnitTests/Orders/DaemonCountTest.cpp
+++ b/Source/UnitTests/Orders/DaemonCountTest.cpp
@@ -51,7 +51,8 @@
     CPPUNIT_ASSERT_EQUAL(40, count.Get());
   }
 
-  /// 79 daemons, whose holder changes, spend all that they may: together no more than the bound.
+  /// While the lease holder changes, 79 daemons that use up their retry budgets must stay within
+  /// the limit for all of them together.
   void ManyDaemonsStayWithinTheBudgetWhileTheHolderChanges()
   {
     constexpr int DAEMONS = 79;
--- a/Source/UnitTests/Orders/LeaseKeeperTest.cpp
+++ b/Source/UnitTests/Orders/LeaseKeeperTest.cpp
@@ -14,7 +14,7 @@
 using UnitTests::RunFor;
 using UnitTests::RunUntil;
 
-/// A store of one row, whose answers a test may lose or hold back.
+/// A store with a single row. Tests can make it drop or delay its answers.
 class FakeStore
 {
 public:
@@ -61,7 +61,7 @@
   std::int64_t version = 0;
   bool down = false;
   bool lose_answers = false;
-  bool hold_answers = false; ///< Answers wait in `held`.
+  bool hold_answers = false; ///< Answers are queued in `held`.
   std::vector<std::function<void()>> held;
   int calls = 0;
 
@@ -208,7 +208,8 @@
 
   void AfterALostAnswerThePauseIsStillOwed()
   {
-    // The holder before has just given the lease back; our write takes effect, its answer is lost.
+    // The previous holder has just released the lease. The write takes effect, but its answer is
+    // lost.
     FakeStore store;
     store.version = 5;
     store.record = {};
@@ -408,7 +409,7 @@
 
   void AWeakVmWaitsFromTheReturnOfTheStoreOn()
   {
-    // Long free, so the handicap as counted from then on is over when the store returns.
+    // The lease has been free for longer than the handicap when the store returns.
     FakeStore store;
     LeaseSettings settings = Settings("weak");
     settings.handicap = Milliseconds(800);
@@ -427,7 +428,7 @@
 
   void AfterAnOutageTheLastHolderGoesFirst()
   {
-    // Both hear late that the store is back; the row names "a", whose time is long over.
+    // The row names "a", whose lease expired long ago. "b" detects the store's return before "a".
     FakeStore store;
     Keeper last(store, Settings("a"));
     Keeper other(store, Settings("b"));
--- a/Source/UnitTests/Orders/OrderDeskTest.cpp
+++ b/Source/UnitTests/Orders/OrderDeskTest.cpp
@@ -18,10 +18,11 @@
 
 constexpr double MODEL_MB = 70;
 constexpr double SERVER_MB = 150;
-/// Of the model "large", for which both others must go.
+/// Size of the model "large". Loading it requires unloading both other models.
 constexpr double LARGE_MB = 140;
 
-/// A desk over one backend server with room for two models, whose answers the test gives.
+/// An OrderDesk with one backend server that has memory for two models and whose answers are set by
+/// the test.
 class World
 {
 public:
@@ -70,7 +71,7 @@
 
   void Later(std::function<void()> callback) const { m_soon.Call(std::move(callback)); }
 
-  /// The server's entry as the platform shows it.
+  /// Sets the models in the server's entry, as the platform publishes it.
   void SetModels(std::vector<const char*> names)
   {
     ServerEntry entry;
@@ -93,7 +94,7 @@
     desk.TakeReport(daemon, Common::Now());
   }
 
-  /// Plans until `done`, as the holder does.
+  /// Plans repeatedly until `done` returns true, as the lease holder does.
   bool PlanUntil(const std::function<bool()>& done)
   {
     return RunUntil([&] {
@@ -146,7 +147,7 @@
     const auto begin = Common::Now();
     backoff.NoteRetryAfter(Milliseconds(300), begin);
     world.Demand("c");
-    // The last plan begins well before the end.
+    // The last plan starts well before the backoff ends.
     world.PlanUntil([&] {
       return Common::Now() >= begin + Milliseconds(250);
     });
@@ -187,7 +188,7 @@
     third.instance = InstanceId("i-3");
     third.on_disk.clear();
     world.servers.Put(third);
-    // "a" is held by i-1 and asked for, but not by requests that wait.
+    // One request waits for "a". No order is needed while i-1, which holds it, can serve it.
     const auto report = [&](std::vector<ServerHash> backing_off, std::uint64_t sequence) {
       DaemonReport daemon;
       daemon.vm = Common::VmId("vm");
@@ -244,8 +245,8 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(5), world.calls[1].expected_sequence);
   }
 
-  /// Symptom: a large model was never loaded on a server full of smaller ones.
-  /// Cause: an order gave up one model, and none of them made room alone.
+  /// A large model was never loaded on a server full of smaller ones: an order unloaded only one
+  /// model, and no single one freed enough memory.
   void SeveralUnloadsGoBeforeALargeLoad()
   {
     World world;
@@ -361,7 +362,7 @@
   {
     World world;
     world.SetModels({"a"});
-    // The holder before has loaded "b"; the entry does not show it yet.
+    // The previous holder has loaded "b", which the entry does not list yet.
     world.report = ServerReport{6, false, {{ModelId("a"), {}}, {ModelId("b"), {}}}, {}};
     world.Demand("c");
     CPPUNIT_ASSERT(world.PlanUntil([&] {
@@ -384,10 +385,10 @@
     CPPUNIT_ASSERT(world.calls.empty());
   }
 
-  /// Symptom: after a change of the holder 45 of 256 servers got orders; requests for models that
-  /// nobody held were refused for the rest of the day (683 of 5,740).
-  /// Sequence: the new holder reads a server's report, which names the models of its entry; it
-  /// unloads one; the entry drops it, but what the report named still counted as held.
+  /// After a change of the lease holder only 45 of 256 servers got orders, and requests for models
+  /// that no server held were refused for the rest of the day (683 of 5,740). The new holder had
+  /// read a server's report, which lists the same models as its entry. After one of them was
+  /// unloaded, the entry no longer listed it, but the model from the report still counted as held.
   void AModelThatIsUnloadedLeavesTheReportBehind()
   {
     World world;
@@ -400,7 +401,7 @@
     const std::string victim = world.calls[0].artifact.model.Get();
     RunFor(Milliseconds(20));
     world.SetModels({victim == "a" ? "b" : "a", "c"});
-    // What was unloaded is wanted again: it has to be loaded, since nobody holds it.
+    // The unloaded model is requested again and must be loaded, since no server holds it.
     world.next_answer = OrderAnswer::AlreadySo;
     CPPUNIT_ASSERT(world.PlanUntil([&] {
       world.Demand(victim.c_str());
--- a/Source/UnitTests/Orders/PlanBookTest.cpp
+++ b/Source/UnitTests/Orders/PlanBookTest.cpp
@@ -20,8 +20,8 @@
 constexpr Milliseconds FROM_STORE{6000};
 constexpr Milliseconds FROM_DISK{500};
 
-/// The book of a pool with two servers: the first carries out orders all the time and has the
-/// weights of "wanted" on its disk, the second is idle.
+/// Planner input for a pool with two servers: the first always has an order in progress and has the
+/// weights of "wanted" on disk, the second is idle.
 class World
 {
 public:
@@ -42,7 +42,7 @@
     book.SetState(BUSY, {true, true, std::nullopt});
   }
 
-  /// One request that has waited for `waited` at some daemon, each time another.
+  /// Reports one request that has waited for `waited`, from a different daemon each time.
   void Ask(Milliseconds waited, Common::TimePoint now)
   {
     const Common::VmId daemon("vm-" + std::to_string(m_daemons++));
@@ -83,10 +83,10 @@
   CPPUNIT_TEST(AModelThatNobodyAsksForAnyMoreWaitsAnew);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Symptom: a model was never served, with 30 to 72 requests waiting for it at any moment.
-  /// Sequence: the server with a copy of its weights is always at other orders; callers leave after
-  /// 1.7 s, others come at other daemons. The load from the weight store that ends such a wait was
-  /// released by the age of the oldest request, which starts anew with each: 1.7 of 5.5 s.
+  /// A model was never served although 30 to 72 requests were waiting for it at any time. The only
+  /// server with a copy of its weights was always busy with other orders, and clients gave up after
+  /// 1.7 s while others arrived at other daemons. The load from the weight store was triggered by
+  /// the age of the oldest request, which never exceeded 1.7 of the required 5.5 s.
   void AModelWaitsAsLongAsItsCallersAskInVain()
   {
     World world;
--- a/Source/UnitTests/Orders/ServerBackoffTest.cpp
+++ b/Source/UnitTests/Orders/ServerBackoffTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Daemons on the loopback before backend servers that reject requests and name a time for which
-// they want none from that daemon.
+// Daemons on the loopback interface with backend servers that reject requests and tell the daemon
+// in Retry-After how long to send none.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -15,7 +15,7 @@
 using UnitTests::RunFor;
 
 constexpr std::size_t VMS = 5;
-/// Requests that are on their way may still arrive for so long after the rejection.
+/// Requests already in transit may still arrive for this long after the rejection.
 constexpr Milliseconds LEEWAY{500};
 constexpr std::size_t ALLOWED = 2;
 
@@ -38,7 +38,7 @@
     const auto worst = std::max(fleet.servers[0]->WorstBackoff(VMS, Milliseconds(2000), LEEWAY),
                                 fleet.servers[1]->WorstBackoff(VMS, Milliseconds(1500), LEEWAY));
     CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst <= ALLOWED);
-    // The others have room for all, and both are asked again soon afterwards.
+    // The other servers have enough capacity, and both servers get requests again soon afterwards.
     fleet.servers[0]->Accept();
     fleet.servers[1]->Accept();
     RunFor(Milliseconds(2200));
--- a/Source/UnitTests/Orders/ServerDrainTest.cpp
+++ b/Source/UnitTests/Orders/ServerDrainTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Daemons on the loopback before backend servers that announce their end in their answers, while
-// the platform's entries still call them ready.
+// Daemons on the loopback interface with backend servers that announce their shutdown in their
+// responses, while the platform's entries still list them as ready.
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -15,7 +15,8 @@
 using UnitTests::RunFor;
 
 constexpr std::size_t VMS = 5;
-/// Within this after an answer that announced the end, its daemon sends the last request.
+/// A daemon must send its last request within this time after a response that announced the
+/// shutdown.
 constexpr Milliseconds BOUND{2000};
 
 class ServerDrainTest : public CppUnit::TestFixture
@@ -45,7 +46,7 @@
     fleet.servers[1]->SetDraining("1");
     RunFor(Milliseconds(5000));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, LateArrivals(fleet, 0) + LateArrivals(fleet, 1));
-    // The others have room for all.
+    // The other servers have enough capacity for all requests.
     fleet.StopLoad();
     RunFor(Milliseconds(100));
     CPPUNIT_ASSERT(fleet.served >= fleet.asked * 98 / 100);
--- a/Source/UnitTests/Orders/ServerLivesOrdersTest.cpp
+++ b/Source/UnitTests/Orders/ServerLivesOrdersTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Orders to a backend server that starts again under its id: it holds and knows nothing of before,
-// and its count of orders begins anew.
+// Orders to a backend server that restarts under the same id: it has lost its models and state, and
+// its order sequence starts again at 0.
 
 #include "Orders/OrderDesk.h"
 
@@ -21,7 +21,7 @@
 using UnitTests::RunFor;
 using UnitTests::RunUntil;
 
-/// A desk over one server with room for two models of four.
+/// An OrderDesk with one server that has memory for two of four models.
 class World
 {
 public:
@@ -132,7 +132,7 @@
   CPPUNIT_TEST(AnOrderThatWasClosedUnansweredKeepsItsRoomInALaterLife);
   CPPUNIT_TEST_SUITE_END();
 
-  /// The order was accepted, then the server died within a heartbeat.
+  /// The server accepts an order and restarts within one heartbeat.
   void ALoadUnderWayWhenItDiedIsGivenAnewWithTheNewSequence()
   {
     World world;
@@ -149,8 +149,8 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), world.calls[1].expected_sequence);
   }
 
-  /// The lease changes hands after an order was accepted; the server starts again meanwhile, and a
-  /// report of before is the first that the new holder gets.
+  /// The lease holder changes after an order was accepted, and the server restarts meanwhile. The
+  /// first report that the new holder gets is from before the restart.
   void AHolderThatTakesOverAfterTheRestartGoesByTheNewLife()
   {
     World world;
@@ -168,7 +168,7 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), world.calls[1].expected_sequence);
   }
 
-  /// The entry tells the new life; the answer to a question of before comes after it.
+  /// A report from before the restart arrives after the entry of the restarted server.
   void AReportOfTheLifeBeforeIsPassedOver()
   {
     World world;
@@ -183,8 +183,8 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), world.calls[0].expected_sequence);
   }
 
-  /// The server itself tells of its restart before its entry does: the models that the entry names
-  /// are gone, so nothing is planned by it.
+  /// The server's report shows the restart before its entry does. The models listed in the entry
+  /// are gone, so no order may be planned from it.
   void AReportOfALaterLifeStopsOrdersUntilItsEntry()
   {
     World world;
@@ -198,8 +198,8 @@
     CPPUNIT_ASSERT(world.OrderGiven(1));
   }
 
-  /// A load of the life before that was never answered may still take effect in the next one, where
-  /// that has taken as many orders by chance. Its room is left free meanwhile.
+  /// An unanswered load from before the restart may still take effect after it, if the restarted
+  /// server happens to have accepted as many orders. Memory is reserved for it meanwhile.
   void ALateOrderOfTheLifeBeforeKeepsItsRoom()
   {
     World world;
@@ -213,14 +213,15 @@
     world.Enter(2000, R"({"name":"b","version":1,"adapters":[]})");
     world.SetReport(2000, 1);
     world.Demand({"c"});
-    // 150 MB hold "b" and one more: the late "a", or "c" in its place after "b" has gone.
+    // 150 MB fit "b" and one more model: the late "a". "c" fits only once "b" is unloaded.
     world.PlanFor(Milliseconds(100));
     for (std::size_t i = 1; i < world.calls.size(); ++i)
       CPPUNIT_ASSERT(world.calls[i].operation == OrderCall::Operation::Unload);
   }
 
-  /// Found by the model of server lives: the sequence had moved past an unanswered load, so it
-  /// could not take effect any more and was forgotten; in the next life the count began anew.
+  /// The sequence had moved past an unanswered load, which therefore could not take effect any more
+  /// and was forgotten. After a restart the sequence started again at 0, so the load could take
+  /// effect after all. Found by the formal model of server restarts.
   void AnOrderThatWasClosedUnansweredKeepsItsRoomInALaterLife()
   {
     World world;
@@ -230,7 +231,7 @@
     world.Demand({"a"});
     CPPUNIT_ASSERT(world.OrderGiven(1));
     RunFor(Milliseconds(20));
-    // Repeated with the sequence that the server has meanwhile, and refused.
+    // The order is sent again with the server's current sequence and is refused.
     world.SetReport(1000, 3);
     world.next_answer = OrderAnswer::Busy;
     CPPUNIT_ASSERT(world.OrderGiven(2));
