--- a/Models/ServerLimit.pml
+++ b/Models/ServerLimit.pml
@@ -2,7 +2,7 @@
  * SPDX-License-Identifier: Apache-2.0
  *
  * A server takes RATE requests in a tick from all daemons together. Stands for
- * Source/Core/RateLimits/PermitKeeper.cpp and LocalPermits.cpp, and what Orders/PermitExchange.cpp does with them.
+ * Source/Core/RateLimits/PermitAllocator.cpp and LocalPermits.cpp, and what Orders/PermitExchange.cpp does with them.
  *
  * The holder of a lease hands out permits for single requests from a bucket; a permit is void when the tick after
  * the one in which it was asked for is over. It may be lost, or lie in a socket until its daemon runs again. The holder
--- a/Source/Benchmarks/PermitBenchmark.cpp
+++ b/Source/Benchmarks/PermitBenchmark.cpp
@@ -8,7 +8,7 @@
 
 #include <benchmark/benchmark.h>
 
-#include "RateLimits/PermitKeeper.h"
+#include "RateLimits/PermitAllocator.h"
 
 namespace
 {
@@ -21,23 +21,24 @@
 {
   const std::int64_t servers = state.range(0);
   auto now = Common::BootClock::now();
-  PermitKeeper keeper;
-  std::vector<PermitKeeper::KnownLimit> limits;
+  PermitAllocator allocator;
+  std::vector<PermitAllocator::KnownLimit> limits;
   for (std::int64_t i = 0; i < servers; ++i)
     limits.push_back({ServerKey(i), RequestRate(THOUSANDTHS), Common::DataCentreId("a")});
-  keeper.SetLimits(limits, now);
+  allocator.SetLimits(limits, now);
   std::int64_t message = 0;
   for (auto _ : state)
   {
     // Each daemon asks about seven times a second.
     now += std::chrono::microseconds(450);
     const std::int64_t daemon = ++message % DAEMONS;
-    std::vector<PermitWant> wants;
+    std::vector<PermitDemand> demands;
     for (std::int64_t i = 0; i < WANTS_A_DAEMON; ++i)
-      wants.push_back({ServerKey((daemon * 7 + i) % servers), 1, 5, 1000});
-    keeper.TakeWants({Common::VmId(std::to_string(daemon)), Common::DataCentreId("a")}, wants, now);
-    benchmark::DoNotOptimize(keeper.HandOut(now));
-    benchmark::DoNotOptimize(keeper.NextAt(now));
+      demands.push_back({ServerKey((daemon * 7 + i) % servers), 1, 5, 1000});
+    allocator.UpdateDemand({Common::VmId(std::to_string(daemon)), Common::DataCentreId("a")},
+                           demands, now);
+    benchmark::DoNotOptimize(allocator.GrantPermits(now));
+    benchmark::DoNotOptimize(allocator.NextGrantAt(now));
   }
 }
 BENCHMARK(HolderTakesAWant)->Arg(10)->Arg(200);
--- a/Source/Core/Decisions/LoadOrder.cpp
+++ b/Source/Core/Decisions/LoadOrder.cpp
@@ -35,7 +35,7 @@
 {
   if (loads.empty())
     return std::nullopt;
-  const auto first = std::ranges::min_element(loads, {}, &WaitingLoad::asked);
+  const auto first = std::ranges::min_element(loads, {}, &WaitingLoad::requested_at);
   return static_cast<std::size_t>(first - loads.begin());
 }
 } // namespace Decisions
--- a/Source/Core/Decisions/LoadOrder.h
+++ b/Source/Core/Decisions/LoadOrder.h
@@ -16,7 +16,7 @@
 struct WaitingLoad
 {
   Common::ClaimId claim;
-  Common::TimePoint asked;
+  Common::TimePoint requested_at;
   Common::TimePoint deadline;
   std::int64_t weight = 1;
   std::int64_t waiting = 1; ///< Requests waiting for this load.
--- a/Source/Core/Decisions/Placement.cpp
+++ b/Source/Core/Decisions/Placement.cpp
@@ -87,11 +87,11 @@
 std::optional<Placement>
 FirstFitPlacement::Choose(const std::vector<PlacementCandidate>& candidates, MegaBytes memory) const
 {
-  const auto roomy = std::ranges::find_if(candidates, [memory](const PlacementCandidate& item) {
+  const auto fitting = std::ranges::find_if(candidates, [memory](const PlacementCandidate& item) {
     return item.free >= memory;
   });
-  if (roomy != candidates.end())
-    return Placement{roomy->server, {}, "first with free memory"};
+  if (fitting != candidates.end())
+    return Placement{fitting->server, {}, "first with free memory"};
   for (PlacementCandidate candidate : candidates)
   {
     for (Evictable& item : candidate.evictable)
--- a/Source/Core/Decisions/Placement.h
+++ b/Source/Core/Decisions/Placement.h
@@ -49,7 +49,7 @@
 {
   Common::VmId server;
   std::vector<Common::ClaimId> evict;
-  std::string why;
+  std::string reason;
 };
 
 /// Chooses the backend server for one artifact; nullopt if it fits on none.
--- a/Source/Core/Decisions/Reconcile.cpp
+++ b/Source/Core/Decisions/Reconcile.cpp
@@ -9,22 +9,22 @@
 {
 ReconcileAction ReconcileOrdered(const ReconcileInput& input)
 {
-  if (input.reported == ReportedState::Loaded && input.same_incarnation)
+  if (input.reported == ReportedState::Loaded && input.same_instance)
     return ReconcileAction::MarkLoaded;
-  if (input.order == OrderKnowledge::NotSent)
+  if (input.order == OrderStatus::NotSent)
     return ReconcileAction::Free;
   if (input.reported != ReportedState::Absent)
     return ReconcileAction::Keep;
-  if (input.order == OrderKnowledge::HolderAlive)
+  if (input.order == OrderStatus::HolderAlive)
     return ReconcileAction::Keep;
   if (input.engine_checks_fencing)
     return input.fence_raised ? ReconcileAction::Free : ReconcileAction::RaiseFence;
   // An engine that ignores fencing numbers executes a late order at any time, so the claim is kept
   // for as long as the holder may still send it.
-  if (input.order == OrderKnowledge::HolderSilent)
+  if (input.order == OrderStatus::HolderUnresponsive)
     return ReconcileAction::Keep;
   // The order was sent on a connection to the previous engine process and ended with it.
-  if (input.order == OrderKnowledge::Unknown && !input.same_incarnation)
+  if (input.order == OrderStatus::Unknown && !input.same_instance)
     return ReconcileAction::Free;
   return input.settled ? ReconcileAction::Free : ReconcileAction::Keep;
 }
@@ -32,7 +32,7 @@
 
 ReconcileAction Reconcile(const ReconcileInput& input)
 {
-  if (input.order == OrderKnowledge::InProgress || input.reported == ReportedState::Unknown)
+  if (input.order == OrderStatus::InProgress || input.reported == ReportedState::Unknown)
     return ReconcileAction::Keep;
   switch (input.claim)
   {
@@ -43,8 +43,8 @@
   case ClaimState::Unloading:
     if (input.reported == ReportedState::Absent)
       return ReconcileAction::Free;
-    return input.order == OrderKnowledge::HolderAlive ? ReconcileAction::Keep
-                                                      : ReconcileAction::SendUnload;
+    return input.order == OrderStatus::HolderAlive ? ReconcileAction::Keep
+                                                   : ReconcileAction::SendUnload;
   }
   return ReconcileAction::Keep;
 }
--- a/Source/Core/Decisions/Reconcile.h
+++ b/Source/Core/Decisions/Reconcile.h
@@ -26,14 +26,14 @@
 };
 
 /// What this daemon knows about the single load order of an ordered claim.
-enum class OrderKnowledge
+enum class OrderStatus
 {
-  InProgress,   ///< This daemon is waiting for the outcome.
-  NotSent,      ///< This daemon holds the claim; it did not and will not send the order.
-  Unknown,      ///< This daemon sent the order; the outcome is unknown.
-  HolderAlive,  ///< Another live daemon holds the claim and reconciles it.
-  HolderSilent, ///< Another daemon holds it and may be suspended just before sending.
-  HolderGone,   ///< The holder has terminated and cannot send any more.
+  InProgress,         ///< This daemon is waiting for the outcome.
+  NotSent,            ///< This daemon holds the claim; it did not and will not send the order.
+  Unknown,            ///< This daemon sent the order; the outcome is unknown.
+  HolderAlive,        ///< Another live daemon holds the claim and reconciles it.
+  HolderUnresponsive, ///< Another daemon holds it and may be suspended just before sending.
+  HolderTerminated,   ///< The holder has terminated and cannot send any more.
 };
 
 enum class ReconcileAction
@@ -49,11 +49,11 @@
 {
   ClaimState claim = ClaimState::Ordered;
   ReportedState reported = ReportedState::Unknown;
-  OrderKnowledge order = OrderKnowledge::InProgress;
+  OrderStatus order = OrderStatus::InProgress;
   bool engine_checks_fencing = false;
-  /// The engine still runs in the incarnation that the claim was made for.
-  bool same_incarnation = true;
-  /// The engine has confirmed, in its current incarnation, a fencing number above the claim's.
+  /// The engine is still the instance that the claim was made for.
+  bool same_instance = true;
+  /// The current instance of the engine has confirmed a fencing number above the claim's.
   bool fence_raised = false;
   /// All reports of the engine lacked the artifact during the whole settling time, which starts at
   /// the last moment the order could have been sent: any order in transit has been read by now.
--- a/Source/Core/Decisions/ReplicaPlan.cpp
+++ b/Source/Core/Decisions/ReplicaPlan.cpp
@@ -19,7 +19,7 @@
 
 /// Fraction of a replica's batch size that may be in use before another replica is wanted: above it
 /// the token latency of all requests rises noticeably, and a crash fails more requests.
-constexpr double COMFORTABLE_FILL = 0.25;
+constexpr double TARGET_UTILIZATION = 0.25;
 /// Models with at least this arrival rate keep a second replica, so that a crash does not leave
 /// them unserved.
 constexpr double SPARE_REPLICA_ABOVE_PER_SECOND = 1.0;
@@ -27,13 +27,13 @@
 constexpr Milliseconds MIN_IDLE{400};
 /// Minimum time to keep a replica after its load, so that the requests that waited for it are
 /// served.
-constexpr Milliseconds MIN_STAY{600};
+constexpr Milliseconds MIN_RESIDENCE{600};
 /// A model without a replica whose requests have waited this long may evict a model in use. An
 /// unload waits for the running requests of its model, so none is interrupted, and models share the
 /// servers in turn if more are in use than fit.
-constexpr Milliseconds TURN_WAIT{900};
+constexpr Milliseconds EVICT_IN_USE_AFTER{900};
 /// Minimum time to keep a replica in use before it may be evicted for a waiting model.
-constexpr Milliseconds MIN_TURN{1500};
+constexpr Milliseconds MIN_RESIDENCE_IN_USE{1500};
 /// Cost of each running request of an evicted replica: the unload waits for it.
 constexpr double VICTIM_RUN_COST_MS = 150;
 /// Delay that an unload adds before the load can start.
@@ -84,18 +84,18 @@
 public:
   explicit Planner(const ReplicaPlanInput& input)
       : m_input(input),
-        m_store_left(input.store_loads_allowed),
+        m_store_loads_left(input.store_loads_allowed),
         m_replicas(input.models.size()),
         m_loading(input.models.size()),
         m_ordered(input.servers.size()),
-        m_disk_wanted(input.servers.size())
+        m_needed_for_disk_loads(input.servers.size())
   {
     for (const PlannedServer& server : input.servers)
     {
       if (server.draining)
         continue;
       for (const PlannedReplica& replica : server.replicas)
-        if (CarriesDemand(server, Model(replica.model)))
+        if (CanServeDemand(server, Model(replica.model)))
           ++m_replicas[At(replica.model)];
       if (server.loading)
         ++m_loading[At(*server.loading)];
@@ -104,9 +104,9 @@
 
   ReplicaPlan Run()
   {
-    const std::vector<ModelIndex> lacking = ByUrgency();
-    MarkDiskWanted(lacking);
-    for (const ModelIndex model : lacking)
+    const std::vector<ModelIndex> under_replicated = ByUrgency();
+    MarkNeededForDiskLoads(under_replicated);
+    for (const ModelIndex model : under_replicated)
       PlaceModel(model);
     return std::move(m_plan);
   }
@@ -115,7 +115,7 @@
   const PlannedModel& Model(ModelIndex model) const { return m_input.models[At(model)]; }
   /// A server whose rate limit is below the arrival rate of the model does not count as having it
   /// loaded.
-  static bool CarriesDemand(const PlannedServer& server, const PlannedModel& model)
+  static bool CanServeDemand(const PlannedServer& server, const PlannedModel& model)
   {
     return !server.requests_per_second || model.arrivals_per_second <= *server.requests_per_second;
   }
@@ -128,20 +128,20 @@
   /// Models with fewer replicas than wanted, most urgent first.
   std::vector<ModelIndex> ByUrgency() const
   {
-    std::vector<ModelIndex> lacking;
+    std::vector<ModelIndex> under_replicated;
     for (std::size_t i = 0; i < m_input.models.size(); ++i)
-      if (m_input.models[i].listed && Lacks(ModelIndex(i)))
-        lacking.push_back(ModelIndex(i));
-    std::ranges::stable_sort(lacking, {}, [&](ModelIndex index) {
+      if (m_input.models[i].listed && IsUnderReplicated(ModelIndex(i)))
+        under_replicated.push_back(ModelIndex(i));
+    std::ranges::stable_sort(under_replicated, {}, [&](ModelIndex index) {
       const PlannedModel& model = Model(index);
       const bool unserved = IsUnserved(index) && model.waiting > 0;
       return std::tuple(!unserved, model.waiting == 0, -Urgency(model));
     });
-    return lacking;
+    return under_replicated;
   }
 
   /// How long requests have waited for the model. Not reset by callers that leave or are refused.
-  static Milliseconds WaitFor(const PlannedModel& model)
+  static Milliseconds WaitTime(const PlannedModel& model)
   {
     return std::max(model.oldest_wait, model.unserved_for);
   }
@@ -151,7 +151,7 @@
   static double Urgency(const PlannedModel& model)
   {
     const double rank = 1 + 1.0 / (1 + model.priority);
-    return model.waiting * rank + std::chrono::duration<double>(WaitFor(model)).count();
+    return model.waiting * rank + std::chrono::duration<double>(WaitTime(model)).count();
   }
 
   int Wanted(ModelIndex model) const
@@ -159,7 +159,7 @@
     return WantedReplicas(Model(model), m_input.batch, m_input.rules.spare_replicas);
   }
 
-  bool Lacks(ModelIndex model) const
+  bool IsUnderReplicated(ModelIndex model) const
   {
     return m_replicas[At(model)] + m_loading[At(model)] < Wanted(model);
   }
@@ -168,34 +168,34 @@
   {
     // Additional replicas are loaded only from disk or host memory, not from the weight store.
     const bool unserved = IsUnserved(model);
-    const bool store_allowed = unserved && m_store_left > 0 && !MayWaitForDisk(model);
-    auto best =
-        store_allowed && TakeFullScan() ? BestOfAll(model, unserved) : BestNear(model, unserved);
-    if (!best && !store_allowed && MayLeaveDisk(model) && TakeFullScan())
-      best = BestUnwanted(model);
+    const bool store_allowed = unserved && m_store_loads_left > 0 && !ShouldWaitForDisk(model);
+    auto best = store_allowed && TryTakeFullScan() ? BestAmongAllServers(model, unserved)
+                                                   : BestAmongCopies(model, unserved);
+    if (!best && !store_allowed && MayBypassDisk(model) && TryTakeFullScan())
+      best = BestWithoutDiskDemand(model);
     if (best)
-      Give(*best, model);
+      AddOrder(*best, model);
     else if (unserved && Model(model).waiting > 0)
-      m_plan.passed_over.push_back(WhyPassedOver(model, store_allowed));
+      m_plan.skipped.push_back(DescribeSkipped(model, store_allowed));
   }
 
-  bool TakeFullScan() { return m_full_scans++ < MAX_FULL_SCANS; }
+  bool TryTakeFullScan() { return m_full_scans++ < MAX_FULL_SCANS; }
 
   /// True if the demand has been unserved for longer than a load from disk saves. Each load from
   /// the weight store blocks other orders of its server for its whole duration: ordering them
   /// wherever there was room lowered the mean score by 0.05 over six days on which one model
   /// starved.
-  bool MayLeaveDisk(ModelIndex model) const
+  bool MayBypassDisk(ModelIndex model) const
   {
-    return IsUnserved(model) && m_store_left > 0 &&
-           Outlasts(Model(model), Model(model).unserved_for);
+    return IsUnserved(model) && m_store_loads_left > 0 &&
+           ExceedsDiskSaving(Model(model), Model(model).unserved_for);
   }
 
   /// Examines only the servers with a copy, to bound its cost.
-  PassedOver WhyPassedOver(ModelIndex model, bool store_allowed) const
+  SkippedModel DescribeSkipped(ModelIndex model, bool store_allowed) const
   {
     const auto copies = m_input.copies.Of(model);
-    PassedOver result;
+    SkippedModel result;
     result.model = model;
     result.copies = copies.size();
     result.store_allowed = store_allowed;
@@ -214,48 +214,49 @@
     if (any_idle || store_allowed)
       result.obstacle = PlanObstacle::NoRoom;
     else if (result.nearest)
-      result.obstacle = PlanObstacle::ServersAtOrders;
+      result.obstacle = PlanObstacle::ServersBusy;
     return result;
   }
 
-  std::optional<Candidate> BestNear(ModelIndex model, bool unserved)
+  std::optional<Candidate> BestAmongCopies(ModelIndex model, bool unserved)
   {
     std::optional<Candidate> best;
     for (const WeightCopy& copy : m_input.copies.Of(model))
-      Weigh(best, copy.server, copy.source, model, unserved);
+      EvaluateCandidate(best, copy.server, copy.source, model, unserved);
     return best;
   }
 
-  std::optional<Candidate> BestOfAll(ModelIndex model, bool unserved)
+  std::optional<Candidate> BestAmongAllServers(ModelIndex model, bool unserved)
   {
     std::optional<Candidate> best;
     for (std::size_t i = 0; i < m_input.servers.size(); ++i)
-      Weigh(best, ServerIndex(i), m_input.copies.SourceOn(ServerIndex(i), model), model, unserved);
+      EvaluateCandidate(best, ServerIndex(i), m_input.copies.SourceOn(ServerIndex(i), model), model,
+                        unserved);
     return best;
   }
 
   /// The best server for a load from the weight store among those that are not needed for loads
   /// from disk of other models with waiting requests.
-  std::optional<Candidate> BestUnwanted(ModelIndex model)
+  std::optional<Candidate> BestWithoutDiskDemand(ModelIndex model)
   {
     std::optional<Candidate> best;
     for (std::size_t i = 0; i < m_input.servers.size(); ++i)
-      if (!m_disk_wanted[i])
-        Weigh(best, ServerIndex(i), WeightSource::WeightStore, model, true);
+      if (!m_needed_for_disk_loads[i])
+        EvaluateCandidate(best, ServerIndex(i), WeightSource::WeightStore, model, true);
     return best;
   }
 
   /// Marks the servers with a copy of an unserved model that has waiting requests.
-  void MarkDiskWanted(const std::vector<ModelIndex>& lacking)
+  void MarkNeededForDiskLoads(const std::vector<ModelIndex>& under_replicated)
   {
-    for (const ModelIndex model : lacking)
+    for (const ModelIndex model : under_replicated)
       if (IsUnserved(model) && Model(model).waiting > 0)
         for (const WeightCopy& copy : m_input.copies.Of(model))
-          m_disk_wanted[At(copy.server)] = true;
+          m_needed_for_disk_loads[At(copy.server)] = true;
   }
 
-  void Weigh(std::optional<Candidate>& best, ServerIndex server, WeightSource source,
-             ModelIndex model, bool unserved)
+  void EvaluateCandidate(std::optional<Candidate>& best, ServerIndex server, WeightSource source,
+                         ModelIndex model, bool unserved)
   {
     ++m_plan.candidates;
     const auto candidate = CandidateOn(server, source, model);
@@ -269,7 +270,7 @@
   }
 
   /// True if a wait is at least the time that a load from disk saves over the weight store.
-  static bool Outlasts(const PlannedModel& model, Milliseconds wait)
+  static bool ExceedsDiskSaving(const PlannedModel& model, Milliseconds wait)
   {
     return wait >= model.from_store - model.from_disk;
   }
@@ -277,10 +278,10 @@
   /// True if a usable server has a copy of the weights, even if it is busy now, and the wait so far
   /// is shorter than the time that a load from there saves. A load from the weight store would
   /// block orders to another server for its whole duration.
-  bool MayWaitForDisk(ModelIndex index) const
+  bool ShouldWaitForDisk(ModelIndex index) const
   {
     const PlannedModel& model = Model(index);
-    if (!m_input.rules.disk_wait || Outlasts(model, model.oldest_wait))
+    if (!m_input.rules.disk_wait || ExceedsDiskSaving(model, model.oldest_wait))
       return false;
     return std::ranges::any_of(m_input.copies.Of(index), [&](const WeightCopy& copy) {
       return m_input.servers[At(copy.server)].usable;
@@ -300,15 +301,16 @@
                         COST_PER_RUNNING_MS * server.in_flight;
     if (FreeMemory(server) >= model.memory_mb)
       return candidate;
-    candidate.victims = VictimsOn(server, model.memory_mb, [&](const PlannedReplica& replica) {
-      return MayGive(server, replica);
+    candidate.victims = ChooseVictims(server, model.memory_mb, [&](const PlannedReplica& replica) {
+      return CanEvict(server, replica);
     });
-    const bool takes_turns =
-        m_input.rules.turns && IsUnserved(wanted) && WaitFor(model) >= TURN_WAIT;
-    if (candidate.victims.empty() && takes_turns)
-      candidate.victims = VictimsOn(server, model.memory_mb, [&](const PlannedReplica& replica) {
-        return MayGive(server, replica) || MayGiveItsTurn(server, replica, model);
-      });
+    const bool may_evict_in_use =
+        m_input.rules.turns && IsUnserved(wanted) && WaitTime(model) >= EVICT_IN_USE_AFTER;
+    if (candidate.victims.empty() && may_evict_in_use)
+      candidate.victims =
+          ChooseVictims(server, model.memory_mb, [&](const PlannedReplica& replica) {
+            return CanEvict(server, replica) || CanEvictInUse(server, replica, model);
+          });
     if (candidate.victims.empty())
       return std::nullopt;
     for (const PlannedReplica* victim : candidate.victims)
@@ -345,14 +347,14 @@
     return Model(model).arrivals_per_second / std::max(Replicas(model), 1);
   }
 
-  bool MayGive(const PlannedServer& server, const PlannedReplica& replica) const
+  bool CanEvict(const PlannedServer& server, const PlannedReplica& replica) const
   {
     const PlannedModel& model = Model(replica.model);
     if (!model.listed)
       return replica.in_flight == 0;
     if (replica.in_flight > 0 || server.loading == replica.model)
       return false;
-    if (m_input.now - replica.since < MIN_STAY)
+    if (m_input.now - replica.since < MIN_RESIDENCE)
       return false;
     const int replicas = Replicas(replica.model);
     const int wanted = Wanted(replica.model);
@@ -366,17 +368,18 @@
 
   /// True if a replica in use may be evicted for a waiting model: it has been loaded for long
   /// enough, and its model is not in higher demand.
-  bool MayGiveItsTurn(const PlannedServer& server, const PlannedReplica& replica,
-                      const PlannedModel& waiting) const
+  bool CanEvictInUse(const PlannedServer& server, const PlannedReplica& replica,
+                     const PlannedModel& waiting) const
   {
     const PlannedModel& model = Model(replica.model);
-    if (!model.listed || server.loading == replica.model || m_input.now - replica.since < MIN_TURN)
+    if (!model.listed || server.loading == replica.model ||
+        m_input.now - replica.since < MIN_RESIDENCE_IN_USE)
       return false;
     // Each unserved second beyond the duration of the slowest load counts like one more waiting
     // request, so that a rarely requested model is loaded eventually.
-    const auto in_vain =
+    const auto unserved_seconds =
         std::chrono::floor<std::chrono::seconds>(waiting.unserved_for - waiting.from_store).count();
-    return model.in_flight <= waiting.waiting + 1 + std::max<std::int64_t>(in_vain, 0);
+    return model.in_flight <= waiting.waiting + 1 + std::max<std::int64_t>(unserved_seconds, 0);
   }
 
   /// The replicas to evict to free enough memory; empty if the evictable ones do not suffice. A
@@ -384,33 +387,35 @@
   /// needed for large models: when only single replicas were evicted, a model for which none was
   /// large enough was never loaded, and 0 of 608 requests of a replay were served.
   template <typename MayGo>
-  Victims VictimsOn(const PlannedServer& server, double memory_needed, const MayGo& may_go) const
+  Victims ChooseVictims(const PlannedServer& server, double memory_needed,
+                        const MayGo& can_evict) const
   {
     const double free = FreeMemory(server);
-    Victims may_leave;
+    Victims evictable_replicas;
     for (const PlannedReplica& replica : server.replicas)
-      if (may_go(replica))
-        may_leave.push_back(&replica);
-    std::ranges::stable_sort(may_leave, {}, [&](const PlannedReplica* replica) {
+      if (can_evict(replica))
+        evictable_replicas.push_back(&replica);
+    std::ranges::stable_sort(evictable_replicas, {}, [&](const PlannedReplica* replica) {
       return std::pair(Value(replica->model), Model(replica->model).last_wanted);
     });
-    const auto single = std::ranges::find_if(may_leave, [&](const PlannedReplica* replica) {
-      return free + MemoryOf(replica->model) >= memory_needed;
-    });
-    if (single != may_leave.end())
+    const auto single =
+        std::ranges::find_if(evictable_replicas, [&](const PlannedReplica* replica) {
+          return free + MemoryOf(replica->model) >= memory_needed;
+        });
+    if (single != evictable_replicas.end())
       return {*single};
     std::vector<EvictionItem> items;
-    std::ranges::transform(may_leave, std::back_inserter(items), [&](const auto* replica) {
+    std::ranges::transform(evictable_replicas, std::back_inserter(items), [&](const auto* replica) {
       return EvictionItem{MemoryOf(replica->model), Value(replica->model)};
     });
     Victims victims;
     const auto chosen = ChooseEvictions(items, free, memory_needed);
     for (const std::size_t index : chosen.value_or(std::vector<std::size_t>()))
-      victims.push_back(may_leave[index]);
+      victims.push_back(evictable_replicas[index]);
     return victims;
   }
 
-  void Give(const Candidate& candidate, ModelIndex model)
+  void AddOrder(const Candidate& candidate, ModelIndex model)
   {
     m_ordered[At(candidate.server)] = true;
     PlannedOrder order;
@@ -430,18 +435,18 @@
       order.for_model = model;
     }
     if (candidate.source == WeightSource::WeightStore)
-      --m_store_left;
+      --m_store_loads_left;
     ++m_loading[At(model)];
     m_plan.orders.push_back(order);
   }
 
   const ReplicaPlanInput& m_input;
-  int m_store_left;
+  int m_store_loads_left;
   int m_full_scans = 0;
   std::vector<int> m_replicas;
   std::vector<int> m_loading;
   std::vector<bool> m_ordered;
-  std::vector<bool> m_disk_wanted; ///< Servers needed for loads from disk.
+  std::vector<bool> m_needed_for_disk_loads; ///< Servers needed for loads from disk.
   ReplicaPlan m_plan;
 };
 } // namespace
@@ -453,7 +458,7 @@
   if (model.waiting == 0 && model.in_flight == 0 && !asked_often)
     return 0;
   const double load = model.in_flight + model.waiting;
-  const int by_load = 1 + static_cast<int>(load / (COMFORTABLE_FILL * std::max(batch, 1)));
+  const int by_load = 1 + static_cast<int>(load / (TARGET_UTILIZATION * std::max(batch, 1)));
   const int spare = asked_often ? 2 : 1;
   return std::max(by_load, spare);
 }
--- a/Source/Core/Decisions/ReplicaPlan.h
+++ b/Source/Core/Decisions/ReplicaPlan.h
@@ -93,9 +93,9 @@
 /// Why a model with waiting requests and without a replica gets no load in this plan.
 enum class PlanObstacle : std::uint8_t
 {
-  NoUsableServer,  ///< No usable server has a copy; the weight store is not allowed.
-  ServersAtOrders, ///< All usable servers with a copy are executing other orders.
-  NoRoom,          ///< No server that could load it has enough free or evictable memory.
+  NoUsableServer, ///< No usable server has a copy; the weight store is not allowed.
+  ServersBusy,    ///< All usable servers with a copy are executing other orders.
+  NoRoom,         ///< No server that could load it has enough free or evictable memory.
 };
 constexpr std::string_view ToString(PlanObstacle obstacle)
 {
@@ -103,7 +103,7 @@
   {
   case PlanObstacle::NoUsableServer:
     return "no_usable_server";
-  case PlanObstacle::ServersAtOrders:
+  case PlanObstacle::ServersBusy:
     return "servers_at_orders";
   case PlanObstacle::NoRoom:
     break;
@@ -112,7 +112,7 @@
 }
 
 /// A model that gets no load in this plan, and the reason.
-struct PassedOver
+struct SkippedModel
 {
   ModelIndex model{};
   PlanObstacle obstacle = PlanObstacle::NoUsableServer;
@@ -125,8 +125,8 @@
 
 struct ReplicaPlan
 {
-  std::vector<PlannedOrder> orders;    ///< To send now, at most one per server; most urgent first.
-  std::vector<PassedOver> passed_over; ///< Models with waiting requests that get no load.
+  std::vector<PlannedOrder> orders;  ///< To send now, at most one per server; most urgent first.
+  std::vector<SkippedModel> skipped; ///< Models with waiting requests that get no load.
   /// Candidates evaluated: the cost of the plan, besides one pass over all models and servers.
   std::size_t candidates = 0;
 };
--- a/Source/Core/Decisions/Retention.cpp
+++ b/Source/Core/Decisions/Retention.cpp
@@ -10,9 +10,9 @@
 namespace
 {
 /// Minimum number of requests for a meaningful mean gap between the artifact's requests.
-constexpr std::int64_t ENOUGH_REQUESTS = 3;
+constexpr std::int64_t MIN_REQUESTS_FOR_GAP = 3;
 /// A gap of this many times the mean gap indicates that the artifact is no longer in use.
-constexpr double ENDED_GAPS = 8;
+constexpr double UNUSED_AFTER_MEAN_GAPS = 8;
 } // namespace
 
 bool CostRetention::ShouldUnload(const ArtifactUse& use) const
@@ -22,11 +22,11 @@
   const auto idle = static_cast<double>(use.idle.count());
   if (idle >= break_even)
     return true;
-  if (use.served < ENOUGH_REQUESTS)
+  if (use.served < MIN_REQUESTS_FOR_GAP)
     return false;
   const double active = static_cast<double>((use.loaded_for - use.idle).count());
   const double mean_gap = std::max(1.0, active / static_cast<double>(use.served));
-  return idle >= std::max(ENDED_GAPS * mean_gap, break_even / 2);
+  return idle >= std::max(UNUSED_AFTER_MEAN_GAPS * mean_gap, break_even / 2);
 }
 
 bool FixedKeepAlive::ShouldUnload(const ArtifactUse& use) const
--- a/Source/Core/Decisions/UnservedDemand.h
+++ b/Source/Core/Decisions/UnservedDemand.h
@@ -22,11 +22,11 @@
   /// `last_wanted`: when the model was last requested or had waiting requests.
   Common::Milliseconds Update(bool held, Common::TimePoint last_wanted, Common::TimePoint now)
   {
-    const bool paused = last_wanted - m_last_wanted >= MEMORY;
+    const bool paused = last_wanted - m_last_wanted >= DEMAND_TIMEOUT;
     m_last_wanted = last_wanted;
-    if (held || paused || now - last_wanted >= MEMORY)
+    if (held || paused || now - last_wanted >= DEMAND_TIMEOUT)
       m_since.reset();
-    if (!held && !m_since && now - last_wanted < MEMORY)
+    if (!held && !m_since && now - last_wanted < DEMAND_TIMEOUT)
       m_since = now;
     return m_since ? std::chrono::floor<Common::Milliseconds>(now - *m_since)
                    : Common::Milliseconds(0);
@@ -34,7 +34,7 @@
 
 private:
   /// Demand ends after this time without a request. Equals the time constant of the arrival rates.
-  static constexpr std::chrono::seconds MEMORY{8};
+  static constexpr std::chrono::seconds DEMAND_TIMEOUT{8};
 
   std::optional<Common::TimePoint> m_since;
   Common::TimePoint m_last_wanted;
--- a/Source/Core/Decisions/WaitForLoad.h
+++ b/Source/Core/Decisions/WaitForLoad.h
@@ -20,7 +20,7 @@
   /// Where the nearest copy of the weights is; nullopt if unknown.
   std::optional<WeightSource> nearest;
   Common::Milliseconds from_store{0}; ///< Duration of a load from the weight store.
-  bool is_coming = false;             ///< Such a load is in progress; its progress is unknown.
+  bool load_in_progress = false;      ///< Such a load is in progress; its progress is unknown.
 };
 
 /// Returns the time until the model can be loaded if the request cannot wait that long; the request
@@ -31,9 +31,9 @@
 /// they were refused. The time limit is the earlier of the caller's deadline and the time at which
 /// it leaves. A load from disk never causes a refusal, since the time until a server has room for
 /// it is unknown.
-inline std::optional<Common::Milliseconds> RefusedUntil(const WaitForLoadInput& input)
+inline std::optional<Common::Milliseconds> RetryAfterIfRefused(const WaitForLoadInput& input)
 {
-  const bool only_in_store = input.nearest == WeightSource::WeightStore && !input.is_coming;
+  const bool only_in_store = input.nearest == WeightSource::WeightStore && !input.load_in_progress;
   if (!only_in_store || input.from_store < std::min(input.until_deadline, input.patience))
     return std::nullopt;
   return input.from_store;
--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -241,17 +241,17 @@
       slow_holders.push_back(server);
     if (holds || spec == nullptr)
       continue;
-    load.is_coming = load.is_coming || server->IsComing(model);
+    load.load_in_progress = load.load_in_progress || server->IsComing(model);
     const auto source = server->SourceOf(model);
     load.nearest = std::min(load.nearest.value_or(source), source);
     if (!must_wait)
       nearest_unlimited = std::min(nearest_unlimited.value_or(source), source);
   }
   if (!slow_holders.empty())
-    return RefuseForWait(slow_holders, load.is_coming, nearest_unlimited, longest_wait);
+    return RefuseForWait(slow_holders, load.load_in_progress, nearest_unlimited, longest_wait);
   if (spec == nullptr)
     return std::nullopt;
-  const auto until = Decisions::RefusedUntil(load);
+  const auto until = Decisions::RetryAfterIfRefused(load);
   return until ? std::optional(EarlyRefusal{*until, "the model's weights would load too late"})
                : std::nullopt;
 }
--- a/Source/Core/Gateway/Dispatcher.h
+++ b/Source/Core/Gateway/Dispatcher.h
@@ -113,10 +113,10 @@
   /// has to be reported to other daemons.
   void OnPermitDemand(std::function<void()> callback) { m_on_permit_demand = std::move(callback); }
   /// The permits that the waiting requests need, by server.
-  std::vector<RateLimits::PermitWant> PermitWants();
+  std::vector<RateLimits::PermitDemand> PermitWants();
   /// Applies the lease holder's answer: for each server, how many requests of other daemons are
   /// queued ahead. Permits may have arrived with it.
-  void TakePlaces(const std::vector<RateLimits::PlaceLine>& places);
+  void TakePlaces(const std::vector<RateLimits::PositionLine>& places);
   /// Requests that crash the servers that run them.
   const Crashes::CrashLedger& CrashCases() const { return m_crashes; }
   /// Merges what other daemons have recorded about such requests.
--- a/Source/Core/Gateway/DispatcherLimits.cpp
+++ b/Source/Core/Gateway/DispatcherLimits.cpp
@@ -98,17 +98,17 @@
   return keys;
 }
 
-std::vector<RateLimits::PermitWant> Dispatcher::PermitWants()
+std::vector<RateLimits::PermitDemand> Dispatcher::PermitWants()
 {
   const auto now = Common::Now();
-  std::map<RateLimits::ServerKey, RateLimits::PermitWant> wants;
+  std::map<RateLimits::ServerKey, RateLimits::PermitDemand> wants;
   std::map<RateLimits::ServerKey, std::uint32_t> waiting;
   for (const AwaitedPermit& awaited : AwaitedPermits(now))
   {
     const RateLimits::ServerKey key = awaited.server->Key();
-    RateLimits::PermitWant& want = wants[key];
+    RateLimits::PermitDemand& want = wants[key];
     const auto left = awaited.relay->WaitLeft(now).count();
-    want.gives_up_ms = want.count == 0 ? left : std::min(want.gives_up_ms, left);
+    want.expires_in_ms = want.count == 0 ? left : std::min(want.expires_in_ms, left);
     want.priority = std::min(want.priority, awaited.relay->Priority());
     waiting[key] = ++want.count;
   }
@@ -121,7 +121,7 @@
       wants[server->Key()].unused = unused;
   for (const RateLimits::ServerKey key : ProbesToOffer())
     wants[key].may_probe = true;
-  std::vector<RateLimits::PermitWant> result;
+  std::vector<RateLimits::PermitDemand> result;
   for (auto& [key, want] : wants)
   {
     want.server = key;
@@ -138,7 +138,7 @@
       awaited.relay->ReviewWait();
 }
 
-void Dispatcher::TakePlaces(const std::vector<RateLimits::PlaceLine>& places)
+void Dispatcher::TakePlaces(const std::vector<RateLimits::PositionLine>& places)
 {
   m_limited.SetPlaces(places, Common::Now());
   WakeWaiting();
--- a/Source/Core/Gateway/LimitedServers.cpp
+++ b/Source/Core/Gateway/LimitedServers.cpp
@@ -42,20 +42,20 @@
     Common::LogEvent(Common::LogLevel::Warning, "server-limit-unreadable",
                      {{"instance", server.Entry().instance},
                       {"value", reading.unreadable},
-                      {"in_force", RateLimits::Describe(m_book.InForce(server.Key()))}});
+                      {"in_force", RateLimits::Describe(m_book.CurrentLimit(server.Key()))}});
   }
   if (const auto change = m_book.NoteAnswer(server.Key(), reading, sent_at, Common::Now()))
     Report({*change}, "an answer");
 }
 
-void LimitedServers::TakeNews(std::int64_t tenure, const RateLimits::LimitNews& news)
+void LimitedServers::TakeNews(std::int64_t tenure, const RateLimits::LimitUpdate& news)
 {
   const auto now = Common::Now();
   TakeQueues(news, now);
-  Report(m_book.TakeNews(tenure, news, now), "the holder");
+  Report(m_book.ApplyUpdate(tenure, news, now), "the holder");
 }
 
-void LimitedServers::TakeQueues(const RateLimits::LimitNews& news, Common::TimePoint now)
+void LimitedServers::TakeQueues(const RateLimits::LimitUpdate& news, Common::TimePoint now)
 {
   std::erase_if(m_waiting, [&](const auto& entry) {
     return news.Covers(entry.first);
@@ -70,7 +70,7 @@
 void LimitedServers::TakeObservations(std::int64_t tenure, const Common::VmId& from,
                                       std::span<const RateLimits::LimitObservation> observations)
 {
-  Report(m_book.TakeObservations(tenure, observations, Common::Now()), from.Get());
+  Report(m_book.ApplyObservations(tenure, observations, Common::Now()), from.Get());
 }
 
 void LimitedServers::Report(const std::vector<RateLimits::LimitChange>& changes,
@@ -105,7 +105,7 @@
   std::vector<ServerKey> keys;
   for (const auto& [instance, server] : m_servers.All())
   {
-    const auto rate = m_book.InForce(server->Key());
+    const auto rate = m_book.CurrentLimit(server->Key());
     const auto since = m_book.LimitedSince(server->Key());
     if (!rate)
     {
@@ -125,12 +125,12 @@
   std::erase_if(m_free_at, is_over);
 }
 
-std::vector<RateLimits::PermitKeeper::KnownLimit> LimitedServers::KnownLimits() const
+std::vector<RateLimits::PermitAllocator::KnownLimit> LimitedServers::KnownLimits() const
 {
-  std::vector<RateLimits::PermitKeeper::KnownLimit> limits;
+  std::vector<RateLimits::PermitAllocator::KnownLimit> limits;
   std::ranges::transform(m_limited, std::back_inserter(limits), [](const ServerPtr& server) {
-    return RateLimits::PermitKeeper::KnownLimit{server->Key(), server->Limit()->rate,
-                                                server->Entry().data_centre};
+    return RateLimits::PermitAllocator::KnownLimit{server->Key(), server->Limit()->rate,
+                                                   server->Entry().data_centre};
   });
   return limits;
 }
@@ -147,10 +147,10 @@
     m_permits.Take(server.Key(), limit->rate, now);
 }
 
-void LimitedServers::SetPlaces(const std::vector<RateLimits::PlaceLine>& lines,
+void LimitedServers::SetPlaces(const std::vector<RateLimits::PositionLine>& lines,
                                Common::TimePoint now)
 {
-  for (const RateLimits::PlaceLine& line : lines)
+  for (const RateLimits::PositionLine& line : lines)
   {
     m_ahead[line.server] = {line.ahead, now};
     m_free_at[line.server] = {now + Milliseconds(line.free_in_ms), now};
@@ -162,8 +162,7 @@
   const auto found = m_free_at.find(server.Key());
   if (found != m_free_at.end() && now - found->second.told_at <= FREE_VALID)
     return std::max(std::chrono::ceil<Milliseconds>(found->second.at - now), Milliseconds(0));
-  return std::chrono::ceil<Milliseconds>(
-      Seconds(1 / RateLimits::FlowPerSecond(server.Limit()->rate)));
+  return std::chrono::ceil<Milliseconds>(Seconds(1 / RateLimits::SendRate(server.Limit()->rate)));
 }
 
 Milliseconds LimitedServers::ExpectedWait(const Server& server) const
@@ -185,8 +184,7 @@
   const double ahead = static_cast<double>(elsewhere) + own;
   if (ahead == 0)
     return FreeIn(server, Common::Now());
-  return std::chrono::ceil<Milliseconds>(
-      Seconds((ahead + 1) / RateLimits::FlowPerSecond(limit->rate)));
+  return std::chrono::ceil<Milliseconds>(Seconds((ahead + 1) / RateLimits::SendRate(limit->rate)));
 }
 
 Milliseconds LimitedServers::ComeBackAfter(const Server& server, Common::TimePoint now)
@@ -196,7 +194,7 @@
     return Milliseconds(0);
   Common::TimePoint& next = m_next_return[server.Key()];
   const auto after_others =
-      next + std::chrono::ceil<Milliseconds>(Seconds(1 / RateLimits::FlowPerSecond(limit->rate)));
+      next + std::chrono::ceil<Milliseconds>(Seconds(1 / RateLimits::SendRate(limit->rate)));
   next = std::min(std::max(now + ExpectedWait(server), after_others), now + LONGEST_RETURN);
   return std::chrono::ceil<Milliseconds>(next - now);
 }
--- a/Source/Core/Gateway/LimitedServers.h
+++ b/Source/Core/Gateway/LimitedServers.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "Gateway/ServerDirectory.h"
-#include "RateLimits/LimitBook.h"
+#include "RateLimits/LimitRegistry.h"
 #include "RateLimits/LocalPermits.h"
-#include "RateLimits/PermitKeeper.h"
+#include "RateLimits/PermitAllocator.h"
 
 namespace Gateway
 {
@@ -30,24 +30,24 @@
   void NoteAnswer(const Server& server, const RateLimits::LimitReading& reading,
                   Common::TimePoint sent_at);
   /// Applies an announcement of the lease holder: limits and queues.
-  void TakeNews(std::int64_t tenure, const RateLimits::LimitNews& news);
+  void TakeNews(std::int64_t tenure, const RateLimits::LimitUpdate& news);
   /// Applies only the queues of such an announcement.
-  void TakeQueues(const RateLimits::LimitNews& news, Common::TimePoint now);
+  void TakeQueues(const RateLimits::LimitUpdate& news, Common::TimePoint now);
   /// At the lease holder: applies limits that another daemon has read from responses.
   void TakeObservations(std::int64_t tenure, const Common::VmId& from,
                         std::span<const RateLimits::LimitObservation> observations);
   /// Applies the limits to the directory's servers; called after the directory has changed.
   void Refresh();
 
-  RateLimits::LimitBook& Book() { return m_book; }
+  RateLimits::LimitRegistry& Book() { return m_book; }
   RateLimits::LocalPermits& Permits() { return m_permits; }
   const RateLimits::LocalPermits& Permits() const { return m_permits; }
   /// Servers with a limit.
   const std::vector<ServerPtr>& All() const { return m_limited; }
   /// Increases when a limit or a server changes.
   std::uint64_t Revision() const { return m_revision; }
-  /// The limits in force, for the PermitKeeper of the lease holder.
-  std::vector<RateLimits::PermitKeeper::KnownLimit> KnownLimits() const;
+  /// The limits in force, for the PermitAllocator of the lease holder.
+  std::vector<RateLimits::PermitAllocator::KnownLimit> KnownLimits() const;
 
   /// True if the server has no limit, or if its limit lets this daemon send a request now.
   bool MaySend(const Server& server, Common::TimePoint now);
@@ -62,7 +62,7 @@
   /// returns a later time than the one before, so that the retries are spread out.
   Common::Milliseconds ComeBackAfter(const Server& server, Common::TimePoint now);
   /// Applies the lease holder's answer: how many requests are queued ahead of this daemon's.
-  void SetPlaces(const std::vector<RateLimits::PlaceLine>& lines, Common::TimePoint now);
+  void SetPlaces(const std::vector<RateLimits::PositionLine>& lines, Common::TimePoint now);
   /// Sets how many requests of this daemon wait for permits, by server.
   void SetOwnWaiting(std::map<RateLimits::ServerKey, std::uint32_t> waiting)
   {
@@ -77,7 +77,7 @@
   void Report(const std::vector<RateLimits::LimitChange>& changes, std::string_view source);
 
   ServerDirectory& m_servers;
-  RateLimits::LimitBook m_book;
+  RateLimits::LimitRegistry m_book;
   RateLimits::LocalPermits m_permits;
   std::vector<ServerPtr> m_limited;
   /// Waiting requests of all daemons, as last announced by the lease holder.
--- a/Source/Core/Orders/Hub.cpp
+++ b/Source/Core/Orders/Hub.cpp
@@ -625,8 +625,8 @@
   }
   m_holder_heard_at = Common::Now();
   m_daemons.Tell(state->daemons, m_holder_heard_at);
-  m_dispatcher.Limited().Permits().NoteHolderHeard(m_holder_heard_at);
-  for (const RateLimits::LimitNews& news : state->limits)
+  m_dispatcher.Limited().Permits().NoteHolderContact(m_holder_heard_at);
+  for (const RateLimits::LimitUpdate& news : state->limits)
     m_permits.TakeNews(report.fence, news);
   m_dispatcher.TakeDrainNews(report.fence, state->draining);
   if (m_on_lease_word && !m_own_lease)
--- a/Source/Core/Orders/MessageSize.cpp
+++ b/Source/Core/Orders/MessageSize.cpp
@@ -48,7 +48,7 @@
   return 2 * NUMBER_BYTES + 2 * COUNT_BYTES;
 }
 
-std::size_t BytesOf(const RateLimits::PermitWant&)
+std::size_t BytesOf(const RateLimits::PermitDemand&)
 {
   return NUMBER_BYTES + 4 * COUNT_BYTES + 1;
 }
@@ -123,7 +123,7 @@
   const std::size_t room = (MAX_DATAGRAM - REPORT_HEAD_BYTES) / 2;
   std::ranges::stable_sort(ask.observations, {}, &RateLimits::LimitObservation::age_ms);
   CutTo(ask.observations, room, "limits");
-  std::ranges::stable_sort(ask.wants, std::ranges::greater(), &RateLimits::PermitWant::count);
+  std::ranges::stable_sort(ask.wants, std::ranges::greater(), &RateLimits::PermitDemand::count);
   CutTo(ask.wants, room, "wants");
   ask.draining.resize(std::min(ask.draining.size(), MAX_SERVERS_NAMED));
 }
--- a/Source/Core/Orders/Messages.h
+++ b/Source/Core/Orders/Messages.h
@@ -143,7 +143,7 @@
   bool abdicated = false;
   bool regular = false; ///< `in_flight` is filled; otherwise the report has only changes.
   std::map<ServerHash, std::int32_t> in_flight; ///< Open requests of all daemons by server.
-  std::vector<RateLimits::LimitNews> limits;    ///< At most one; empty if there are no changes.
+  std::vector<RateLimits::LimitUpdate> limits;  ///< At most one; empty if there are no changes.
   /// Servers that are draining: all of them, or the next part of the list.
   std::vector<RateLimits::ServerKey> draining;
 
@@ -209,7 +209,7 @@
   Common::DataCentreId data_centre;
   std::int64_t tenure = 0; ///< Tenure of the holder whose announcements the daemon has applied.
   std::vector<RateLimits::LimitObservation> observations;
-  std::vector<RateLimits::PermitWant> wants; ///< All permits that it requests now.
+  std::vector<RateLimits::PermitDemand> wants; ///< All permits that it requests now.
   /// Draining servers that the holder has not announced yet.
   std::vector<RateLimits::ServerKey> draining;
 
@@ -230,7 +230,7 @@
   std::int64_t held_ms = 0;   ///< Time since the holder read that request.
   std::vector<RateLimits::PermitLine> permits;
   /// This daemon's positions in the servers' queues.
-  std::vector<RateLimits::PlaceLine> places;
+  std::vector<RateLimits::PositionLine> places;
   std::vector<RateLimits::StandbyLine> standbys; ///< All servers for which the daemon is a standby.
 
   template <typename Archive>
--- a/Source/Core/Orders/OrderDesk.h
+++ b/Source/Core/Orders/OrderDesk.h
@@ -225,7 +225,7 @@
   void CheckOpen(const Gateway::ServerPtr& server, ServerBook& book, Common::TimePoint now);
   void PlanPool(const Gateway::Pool& pool, PlanBook& plan, Common::TimePoint now);
   void LogPassedOver(const PlanBook& plan, const Decisions::ReplicaPlanInput& input,
-                     const std::vector<Decisions::PassedOver>& passed_over);
+                     const std::vector<Decisions::SkippedModel>& passed_over);
   void PlanAdapters(const Gateway::Pool& pool, Common::TimePoint now);
   void LoadAdapter(const Gateway::Pool& pool, const Gateway::Artifact& artifact,
                    const std::vector<const Slot*>& holders, Common::TimePoint now);
--- a/Source/Core/Orders/OrderDeskPlan.cpp
+++ b/Source/Core/Orders/OrderDeskPlan.cpp
@@ -113,7 +113,7 @@
       plan.SetState(slot.index, StateOf(pool, slot, plan_around_limits, now));
   const Decisions::ReplicaPlanInput& input = plan.Input(now, StoreLoadsAllowed(pool, now));
   const Decisions::ReplicaPlan decided = Decisions::PlanReplicas(input);
-  LogPassedOver(plan, input, decided.passed_over);
+  LogPassedOver(plan, input, decided.skipped);
   for (const Decisions::PlannedOrder& order : decided.orders)
   {
     const bool is_load = order.kind == Decisions::PlannedOrder::Kind::Load;
@@ -132,12 +132,12 @@
 }
 
 void OrderDesk::LogPassedOver(const PlanBook& plan, const Decisions::ReplicaPlanInput& input,
-                              const std::vector<Decisions::PassedOver>& passed_over)
+                              const std::vector<Decisions::SkippedModel>& passed_over)
 {
   std::erase_if(m_passed_over_logged, [&](const auto& entry) {
     return input.now - entry.second >= PASSED_OVER_LOG_PAUSE;
   });
-  for (const Decisions::PassedOver& entry : passed_over)
+  for (const Decisions::SkippedModel& entry : passed_over)
   {
     const ModelId& name = plan.NameOf(entry.model);
     if (!m_passed_over_logged.try_emplace(name, input.now).second)
--- a/Source/Core/Orders/PermitExchange.cpp
+++ b/Source/Core/Orders/PermitExchange.cpp
@@ -43,7 +43,7 @@
   m_peers.clear();
   m_keeper.Begin();
   m_limits_revision = 0;
-  RateLimits::LimitBook& limits = m_dispatcher.Limited().Book();
+  RateLimits::LimitRegistry& limits = m_dispatcher.Limited().Book();
   Gateway::DrainBook& draining = m_dispatcher.Draining();
   if (own_tenure)
   {
@@ -132,7 +132,7 @@
   m_dispatcher.Limited().TakeObservations(ask.tenure, ask.vm, ask.observations);
   m_dispatcher.TakeDrainReport(ask.vm, ask.draining);
   TellKeeper(now);
-  m_keeper.TakeWants({ask.vm, ask.data_centre}, ask.wants, now);
+  m_keeper.UpdateDemand({ask.vm, ask.data_centre}, ask.wants, now);
   HandOut();
   TellPlace(ask);
 }
@@ -147,11 +147,12 @@
 void PermitExchange::TellPlace(const PermitAsk& ask)
 {
   const auto now = Common::Now();
-  std::vector<RateLimits::PlaceLine> places;
-  for (const RateLimits::PermitWant& want : ask.wants)
+  std::vector<RateLimits::PositionLine> places;
+  for (const RateLimits::PermitDemand& want : ask.wants)
     if (want.count > 0)
-      places.push_back({want.server, m_keeper.Ahead(ask.vm, want.server, now),
-                        static_cast<std::uint32_t>(m_keeper.FreeIn(want.server, now).count())});
+      places.push_back(
+          {want.server, m_keeper.RequestsAhead(ask.vm, want.server, now),
+           static_cast<std::uint32_t>(m_keeper.TimeToNextPermit(want.server, now).count())});
   if (places.empty())
     return;
   PermitReply reply = ReplyTo(ask.vm, m_peers.at(ask.vm));
@@ -192,7 +193,7 @@
     return now - entry.second.heard_at > PEER_SILENT_AFTER;
   });
   std::map<Common::VmId, PermitReply> replies;
-  for (const RateLimits::Grant& grant : m_keeper.HandOut(now))
+  for (const RateLimits::Grant& grant : m_keeper.GrantPermits(now))
   {
     const auto peer = m_peers.find(grant.vm);
     if (peer == m_peers.end())
@@ -204,7 +205,7 @@
   }
   for (const auto& [vm, reply] : replies)
     Deliver(vm, reply);
-  if (const auto next = m_keeper.NextAt(now))
+  if (const auto next = m_keeper.NextGrantAt(now))
     m_hand_out_timer.Start(std::max(std::chrono::ceil<Milliseconds>(*next - now), Milliseconds(1)),
                            [this] {
                              HandOut();
@@ -216,24 +217,25 @@
   return m_dispatcher.Draining().NextNews(MAX_NEWS_LINES, now);
 }
 
-RateLimits::LimitNews PermitExchange::News(Common::TimePoint now)
+RateLimits::LimitUpdate PermitExchange::News(Common::TimePoint now)
 {
-  RateLimits::LimitBook& book = m_dispatcher.Limited().Book();
+  RateLimits::LimitRegistry& book = m_dispatcher.Limited().Book();
   book.Retain([this](RateLimits::ServerKey server) {
     return m_dispatcher.Servers().FindByKey(server) != nullptr;
   });
   TellKeeper(now);
-  auto news = book.NextNews(MAX_NEWS_LINES, now);
+  auto news = book.NextUpdate(MAX_NEWS_LINES, now);
   for (RateLimits::LimitLine& line : news.lines)
   {
     line.waiting = m_keeper.Waiting(line.server, now);
-    line.free_in_ms = static_cast<std::uint32_t>(m_keeper.FreeIn(line.server, now).count());
+    line.free_in_ms =
+        static_cast<std::uint32_t>(m_keeper.TimeToNextPermit(line.server, now).count());
   }
   m_dispatcher.Limited().TakeQueues(news, now);
   return news;
 }
 
-void PermitExchange::TakeNews(std::int64_t tenure, const RateLimits::LimitNews& news)
+void PermitExchange::TakeNews(std::int64_t tenure, const RateLimits::LimitUpdate& news)
 {
   if (m_own_tenure)
     return;
--- a/Source/Core/Orders/PermitExchange.h
+++ b/Source/Core/Orders/PermitExchange.h
@@ -14,7 +14,7 @@
 #include "Gateway/Dispatcher.h"
 #include "Http/TcpStream.h"
 #include "Orders/Messages.h"
-#include "RateLimits/PermitKeeper.h"
+#include "RateLimits/PermitAllocator.h"
 
 namespace Orders
 {
@@ -45,15 +45,15 @@
 
   /// Called at the holder.
   void TakeAsk(const PermitAsk& ask, const Http::Endpoint& from);
-  RateLimits::LimitNews News(Common::TimePoint now);
+  RateLimits::LimitUpdate News(Common::TimePoint now);
   /// Draining servers, to be announced to all daemons.
   std::vector<RateLimits::ServerKey> DrainNews(Common::TimePoint now);
 
   /// Handles messages from the holder.
-  void TakeNews(std::int64_t tenure, const RateLimits::LimitNews& news);
+  void TakeNews(std::int64_t tenure, const RateLimits::LimitUpdate& news);
   void TakeReply(const PermitReply& reply);
 
-  const RateLimits::PermitKeeper::Counters& Granted() const { return m_keeper.Totals(); }
+  const RateLimits::PermitAllocator::Counters& Granted() const { return m_keeper.Totals(); }
 
 private:
   struct Peer
@@ -87,8 +87,8 @@
   std::optional<std::int64_t> m_own_tenure;
   std::int64_t m_tenure = 0; ///< Tenure of the last holder that sent a message.
 
-  RateLimits::PermitKeeper m_keeper;   ///< Used while this daemon is the holder.
-  std::uint64_t m_limits_revision = 0; ///< Revision of the limits that the keeper has.
+  RateLimits::PermitAllocator m_keeper; ///< Used while this daemon is the holder.
+  std::uint64_t m_limits_revision = 0;  ///< Revision of the limits that the keeper has.
   std::map<Common::VmId, Peer> m_peers;
   std::uint64_t m_reply_number = 0;
 
--- a/Source/Core/RateLimits/LimitBook.cpp
+++ b/Source/Core/RateLimits/LimitRegistry.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "RateLimits/LimitBook.h"
+#include "RateLimits/LimitRegistry.h"
 
 #include <algorithm>
 
@@ -13,12 +13,12 @@
 
 /// How long the holder announces that a limit has ended. A daemon that receives updates less often
 /// relies on the responses that it gets itself.
-constexpr Milliseconds TELL_ENDED_FOR{10000};
+constexpr Milliseconds ANNOUNCE_ENDED_FOR{10000};
 /// Maximum age of an observation. A daemon that was suspended for longer after reading a response
 /// may have missed newer ones.
-constexpr Milliseconds OBSERVATION_VALID{1000};
+constexpr Milliseconds MAX_OBSERVATION_AGE{1000};
 /// An observation that the holder has not confirmed within this time was too old for it.
-constexpr Milliseconds ANSWERED_WITHIN{2000};
+constexpr Milliseconds CONFIRMATION_TIMEOUT{2000};
 
 bool IsStricter(std::optional<RequestRate> rate, std::optional<RequestRate> than)
 {
@@ -26,13 +26,13 @@
 }
 } // namespace
 
-std::optional<RequestRate> LimitBook::InForce(ServerKey server) const
+std::optional<RequestRate> LimitRegistry::CurrentLimit(ServerKey server) const
 {
   const auto found = m_entries.find(server);
   return found == m_entries.end() ? std::nullopt : found->second.rate;
 }
 
-std::optional<Common::TimePoint> LimitBook::LimitedSince(ServerKey server) const
+std::optional<Common::TimePoint> LimitRegistry::LimitedSince(ServerKey server) const
 {
   const auto found = m_entries.find(server);
   if (found == m_entries.end() || !found->second.rate)
@@ -40,8 +40,8 @@
   return found->second.limited_since;
 }
 
-LimitChange LimitBook::Set(ServerKey server, Entry& entry, std::optional<RequestRate> rate,
-                           Common::TimePoint now)
+LimitChange LimitRegistry::Set(ServerKey server, Entry& entry, std::optional<RequestRate> rate,
+                               Common::TimePoint now)
 {
   ++m_revision;
   const LimitChange change{server, entry.rate, rate};
@@ -52,14 +52,15 @@
   return change;
 }
 
-std::optional<LimitChange> LimitBook::NoteAnswer(ServerKey server, const LimitReading& reading,
-                                                 Common::TimePoint sent_at, Common::TimePoint now)
+std::optional<LimitChange> LimitRegistry::NoteAnswer(ServerKey server, const LimitReading& reading,
+                                                     Common::TimePoint sent_at,
+                                                     Common::TimePoint now)
 {
-  const bool says_nothing = !reading.readable && !reading.rate;
+  const bool is_unreadable = !reading.readable && !reading.rate;
   const auto found = m_entries.find(server);
   const std::optional<RequestRate> known =
       found == m_entries.end() ? std::nullopt : found->second.rate;
-  if (says_nothing || reading.rate == known)
+  if (is_unreadable || reading.rate == known)
     return std::nullopt;
   Entry& entry = m_entries[server];
   if (!IsStricter(reading.rate, entry.rate) && sent_at <= entry.learned_at)
@@ -70,7 +71,7 @@
   return Set(server, entry, reading.rate, now);
 }
 
-std::vector<LimitObservation> LimitBook::Unconfirmed(Common::TimePoint now) const
+std::vector<LimitObservation> LimitRegistry::Unconfirmed(Common::TimePoint now) const
 {
   std::vector<LimitObservation> observations;
   for (const auto& [server, entry] : m_entries)
@@ -82,8 +83,8 @@
   return observations;
 }
 
-std::vector<LimitChange> LimitBook::TakeNews(std::int64_t tenure, const LimitNews& news,
-                                             Common::TimePoint now)
+std::vector<LimitChange> LimitRegistry::ApplyUpdate(std::int64_t tenure, const LimitUpdate& update,
+                                                    Common::TimePoint now)
 {
   std::vector<LimitChange> changes;
   if (tenure < m_tenure)
@@ -96,10 +97,10 @@
       entry.confirmed = !entry.rate;
     }
   m_tenure = tenure;
-  for (const LimitLine& line : news.lines)
+  for (const LimitLine& line : update.lines)
   {
     Entry& entry = m_entries[line.server];
-    const bool waits_for_holder = !entry.confirmed && now - entry.learned_at < ANSWERED_WITHIN;
+    const bool waits_for_holder = !entry.confirmed && now - entry.learned_at < CONFIRMATION_TIMEOUT;
     if (line.version < entry.version ||
         (line.version == entry.version && (entry.confirmed || waits_for_holder)))
       continue;
@@ -109,20 +110,20 @@
     if (rate != entry.rate)
       changes.push_back(Set(line.server, entry, rate, now));
   }
-  const auto is_over = [&](ServerKey server, const Entry& entry) {
-    return entry.confirmed && news.Covers(server) &&
-           !std::ranges::binary_search(news.lines, server, {}, &LimitLine::server);
+  const auto has_ended = [&](ServerKey server, const Entry& entry) {
+    return entry.confirmed && update.Covers(server) &&
+           !std::ranges::binary_search(update.lines, server, {}, &LimitLine::server);
   };
   for (auto& [server, entry] : m_entries)
-    if (entry.rate && is_over(server, entry))
+    if (entry.rate && has_ended(server, entry))
       changes.push_back(Set(server, entry, std::nullopt, now));
   std::erase_if(m_entries, [&](const auto& item) {
-    return !item.second.rate && is_over(item.first, item.second);
+    return !item.second.rate && has_ended(item.first, item.second);
   });
   return changes;
 }
 
-void LimitBook::BeginTenure(std::int64_t tenure)
+void LimitRegistry::BeginTenure(std::int64_t tenure)
 {
   m_tenure = tenure;
   m_is_holder = true;
@@ -133,20 +134,19 @@
   }
 }
 
-std::vector<LimitChange> LimitBook::TakeObservations(std::int64_t tenure,
-                                                     std::span<const LimitObservation> observations,
-                                                     Common::TimePoint now)
+std::vector<LimitChange> LimitRegistry::ApplyObservations(
+    std::int64_t tenure, std::span<const LimitObservation> observations, Common::TimePoint now)
 {
   std::vector<LimitChange> changes;
   for (const LimitObservation& observation : observations)
   {
     const auto rate = FromWire(observation.rate);
-    if (rate == InForce(observation.server))
+    if (rate == CurrentLimit(observation.server))
       continue;
     Entry& entry = m_entries[observation.server];
-    const bool knew_all = tenure == m_tenure && observation.seen_version == entry.version &&
-                          observation.age_ms < OBSERVATION_VALID.count();
-    if (!knew_all && !IsStricter(rate, entry.rate))
+    const bool is_current = tenure == m_tenure && observation.seen_version == entry.version &&
+                            observation.age_ms < MAX_OBSERVATION_AGE.count();
+    if (!is_current && !IsStricter(rate, entry.rate))
       continue;
     ++entry.version;
     entry.confirmed = true;
@@ -155,23 +155,23 @@
   return changes;
 }
 
-LimitNews LimitBook::NextNews(std::size_t max_lines, Common::TimePoint now)
+LimitUpdate LimitRegistry::NextUpdate(std::size_t max_lines, Common::TimePoint now)
 {
   std::erase_if(m_entries, [&](const auto& item) {
-    return !item.second.rate && now - item.second.learned_at > TELL_ENDED_FOR;
+    return !item.second.rate && now - item.second.learned_at > ANNOUNCE_ENDED_FOR;
   });
-  LimitNews news;
-  news.after = m_told_up_to;
-  auto next = m_entries.upper_bound(m_told_up_to);
-  for (; next != m_entries.end() && news.lines.size() < max_lines; ++next)
-    news.lines.push_back({next->first, ToWire(next->second.rate), next->second.version});
+  LimitUpdate update;
+  update.after = m_sent_up_to;
+  auto next = m_entries.upper_bound(m_sent_up_to);
+  for (; next != m_entries.end() && update.lines.size() < max_lines; ++next)
+    update.lines.push_back({next->first, ToWire(next->second.rate), next->second.version});
   const bool is_last = next == m_entries.end();
-  news.up_to = is_last ? LAST_KEY : news.lines.back().server;
-  m_told_up_to = is_last ? FIRST_KEY : news.up_to;
-  return news;
+  update.up_to = is_last ? LAST_KEY : update.lines.back().server;
+  m_sent_up_to = is_last ? FIRST_KEY : update.up_to;
+  return update;
 }
 
-void LimitBook::Retain(const std::function<bool(ServerKey)>& is_known)
+void LimitRegistry::Retain(const std::function<bool(ServerKey)>& is_known)
 {
   std::erase_if(m_entries, [&](const auto& item) {
     return !is_known(item.first);
--- a/Source/Core/RateLimits/LimitBook.h
+++ b/Source/Core/RateLimits/LimitRegistry.h
@@ -30,10 +30,10 @@
 /// follows from versions and not from clocks. A response raises or removes a limit only if its
 /// request was sent after the limit became known. A lower limit takes effect immediately, whichever
 /// response states it.
-class LimitBook
+class LimitRegistry
 {
 public:
-  std::optional<RequestRate> InForce(ServerKey server) const;
+  std::optional<RequestRate> CurrentLimit(ServerKey server) const;
   /// The start of the current uninterrupted period in which the server has a limit.
   std::optional<Common::TimePoint> LimitedSince(ServerKey server) const;
   bool Empty() const { return m_entries.empty(); }
@@ -46,19 +46,19 @@
   /// Readings that the holder has not confirmed yet.
   std::vector<LimitObservation> Unconfirmed(Common::TimePoint now) const;
   /// Applies an update that the holder sent.
-  std::vector<LimitChange> TakeNews(std::int64_t tenure, const LimitNews& news,
-                                    Common::TimePoint now);
+  std::vector<LimitChange> ApplyUpdate(std::int64_t tenure, const LimitUpdate& update,
+                                       Common::TimePoint now);
 
   /// This daemon becomes the holder; the limits it knows become the announced ones.
   void BeginTenure(std::int64_t tenure);
   void EndTenure() { m_is_holder = false; }
   /// Applies the readings of a daemon that follows the holder of `tenure`.
-  std::vector<LimitChange> TakeObservations(std::int64_t tenure,
-                                            std::span<const LimitObservation> observations,
-                                            Common::TimePoint now);
+  std::vector<LimitChange> ApplyObservations(std::int64_t tenure,
+                                             std::span<const LimitObservation> observations,
+                                             Common::TimePoint now);
   /// Returns the next part of all limits to send to all daemons, starting over at the end. Removed
   /// limits are included for a while.
-  LimitNews NextNews(std::size_t max_lines, Common::TimePoint now);
+  LimitUpdate NextUpdate(std::size_t max_lines, Common::TimePoint now);
 
   /// Drops the entries of servers that are no longer known.
   void Retain(const std::function<bool(ServerKey)>& is_known);
@@ -78,7 +78,7 @@
 
   std::map<ServerKey, Entry> m_entries;
   std::uint64_t m_revision = 0;
-  ServerKey m_told_up_to = FIRST_KEY; ///< Last key of the previous update.
+  ServerKey m_sent_up_to = FIRST_KEY; ///< Last key of the previous update.
   std::int64_t m_tenure = 0;
   bool m_is_holder = false;
 };
--- a/Source/Core/RateLimits/LocalPermits.h
+++ b/Source/Core/RateLimits/LocalPermits.h
@@ -26,7 +26,7 @@
 public:
   /// Sets the number of daemons that may exist, for the equal shares.
   void SetDaemons(int daemons) { m_daemons = daemons; }
-  void NoteHolderHeard(Common::TimePoint now) { m_heard_at = now; }
+  void NoteHolderContact(Common::TimePoint now) { m_last_contact_at = now; }
   void Add(ServerKey server, std::uint32_t count, Common::TimePoint valid_until);
   /// Replaces the list of servers for which this daemon is a standby.
   void SetStandbys(std::span<const StandbyLine> lines);
@@ -50,21 +50,21 @@
   const Counters& Totals() const { return m_totals; }
 
 private:
-  struct Local
+  struct ServerPermits
   {
     std::vector<Common::TimePoint> valid_until; ///< Expiry of each permit.
     std::uint32_t unused = 0;
     std::optional<RequestRate> standby;
-    double own = 0; ///< Token bucket used while the holder is unreachable.
+    double tokens = 0; ///< Token bucket used while the holder is unreachable.
     Common::TimePoint filled_at;
   };
 
-  void DropExpired(Local& local, Common::TimePoint now);
-  void Fill(Local& local, RequestRate rate, Common::TimePoint now) const;
-  double OwnFlow(const Local& local, RequestRate rate, Common::TimePoint now) const;
+  void DropExpired(ServerPermits& permits, Common::TimePoint now);
+  void Fill(ServerPermits& permits, RequestRate rate, Common::TimePoint now) const;
+  double LocalFillRate(const ServerPermits& permits, RequestRate rate, Common::TimePoint now) const;
 
-  std::map<ServerKey, Local> m_locals;
-  std::optional<Common::TimePoint> m_heard_at;
+  std::map<ServerKey, ServerPermits> m_servers;
+  std::optional<Common::TimePoint> m_last_contact_at;
   int m_daemons = 1;
   Counters m_totals;
 };
--- a/Source/Core/RateLimits/Messages.h
+++ b/Source/Core/RateLimits/Messages.h
@@ -13,7 +13,7 @@
 
 namespace RateLimits
 {
-/// Identifies one incarnation of one backend server in tables and messages.
+/// Identifies one instance (one start) of a backend server in tables and messages.
 using ServerKey = Common::Quantity<struct ServerKeyTag>;
 
 /// Lower and upper bounds of all keys.
@@ -66,7 +66,7 @@
 };
 /// The limits of all servers with keys above `after` and up to `up_to`. Servers in this range
 /// without a line have no limit.
-struct LimitNews
+struct LimitUpdate
 {
   ServerKey after;
   ServerKey up_to;
@@ -82,27 +82,27 @@
 };
 
 /// A daemon's demand for permits for one server: one permit for each waiting request.
-struct PermitWant
+struct PermitDemand
 {
   ServerKey server;
   std::uint32_t count = 0;
-  std::int32_t priority = 9;    ///< Of the most urgent request.
-  std::int64_t gives_up_ms = 0; ///< Time until the first request times out.
-  std::uint32_t unused = 0;     ///< Permits that expired unused since the last message.
+  std::int32_t priority = 9;      ///< Of the most urgent request.
+  std::int64_t expires_in_ms = 0; ///< Time until the first request times out.
+  std::uint32_t unused = 0;       ///< Permits that expired unused since the last message.
   /// Requests that this server could have served were routed elsewhere; one may be sent to check
   /// whether the limit still applies.
   bool may_probe = false;
 
-  bool operator==(const PermitWant&) const = default;
+  bool operator==(const PermitDemand&) const = default;
   template <typename Archive>
   void serialize(Archive& archive)
   {
-    archive(server, count, priority, gives_up_ms, unused, may_probe);
+    archive(server, count, priority, expires_in_ms, unused, may_probe);
   }
 };
 
 /// The position of a daemon's requests in the queue for one server.
-struct PlaceLine
+struct PositionLine
 {
   ServerKey server;
   std::uint32_t ahead = 0;      ///< Requests of other daemons that are served first.
@@ -148,15 +148,15 @@
 /// Fraction of a server's limit that all daemons together may send while they cannot reach the
 /// holder. Added to the permits of the next holder, which other daemons may already receive, the
 /// total stays within one and a half times the limit.
-constexpr double UNHEARD_SHARE = 0.4;
+constexpr double WITHOUT_HOLDER_SHARE = 0.4;
 
 /// Minimum requests per second sent to a limited server, even if its limit is 0: a server announces
 /// the end of its limit only in a response, so some requests must reach it.
-constexpr double LEAST_FLOW = 0.5;
+constexpr double MIN_SEND_RATE = 0.5;
 
 /// Requests per second that are sent to a server with this limit.
-constexpr double FlowPerSecond(RequestRate rate)
+constexpr double SendRate(RequestRate rate)
 {
-  return PerSecond(rate) > LEAST_FLOW ? PerSecond(rate) : LEAST_FLOW;
+  return PerSecond(rate) > MIN_SEND_RATE ? PerSecond(rate) : MIN_SEND_RATE;
 }
 } // namespace RateLimits
--- a/Source/Core/RateLimits/PermitKeeper.h
+++ b/Source/Core/RateLimits/PermitAllocator.h
@@ -16,7 +16,7 @@
 namespace RateLimits
 {
 /// The daemon that asks for permits.
-struct Asker
+struct Requester
 {
   Common::VmId vm;
   Common::DataCentreId data_centre;
@@ -42,7 +42,7 @@
 ///
 /// Each server has a token bucket with the rate of its limit. Permits expire after PERMIT_VALID, so
 /// the requests that arrive in any window were granted in a window longer by at most that time.
-class PermitKeeper
+class PermitAllocator
 {
 public:
   /// Starts a new tenure with empty buckets, since the grants of the previous holder are unknown.
@@ -56,17 +56,19 @@
   /// Sets the current limits; the state of all other servers is dropped.
   void SetLimits(std::span<const KnownLimit> limits, Common::TimePoint now);
   /// Replaces the permit demand of a daemon.
-  void TakeWants(const Asker& asker, std::span<const PermitWant> wants, Common::TimePoint now);
+  void UpdateDemand(const Requester& requester, std::span<const PermitDemand> demands,
+                    Common::TimePoint now);
   /// Grants all available permits, most urgent requests first.
-  std::vector<Grant> HandOut(Common::TimePoint now);
+  std::vector<Grant> GrantPermits(Common::TimePoint now);
   /// When the next permit that a daemon waits for can be granted.
-  std::optional<Common::TimePoint> NextAt(Common::TimePoint now) const;
+  std::optional<Common::TimePoint> NextGrantAt(Common::TimePoint now) const;
   /// Requests waiting for a permit, over all daemons.
   std::uint32_t Waiting(ServerKey server, Common::TimePoint now) const;
   /// Time until the server's next permit is available, if no request waits.
-  Common::Milliseconds FreeIn(ServerKey server, Common::TimePoint now) const;
+  Common::Milliseconds TimeToNextPermit(ServerKey server, Common::TimePoint now) const;
   /// Waiting requests of other daemons that are served before the first request of this daemon.
-  std::uint32_t Ahead(const Common::VmId& vm, ServerKey server, Common::TimePoint now) const;
+  std::uint32_t RequestsAhead(const Common::VmId& vm, ServerKey server,
+                              Common::TimePoint now) const;
   /// Rates at which the daemon may send to each server while it cannot reach the holder.
   std::vector<StandbyLine> StandbysOf(const Common::VmId& vm) const;
 
@@ -78,17 +80,20 @@
   const Counters& Totals() const { return m_totals; }
 
 private:
-  struct Want
+  struct ServerDemand
   {
-    PermitWant told;
+    PermitDemand reported;
     Common::DataCentreId data_centre;
-    Common::TimePoint told_at;
+    Common::TimePoint reported_at;
 
     /// True if the daemon still waits for a permit, as far as is known.
     bool Waits(Common::TimePoint now) const;
     bool MayProbe(Common::TimePoint now) const;
     /// When the first of its requests times out.
-    Common::TimePoint GivesUpAt() const { return told_at + Common::Milliseconds(told.gives_up_ms); }
+    Common::TimePoint ExpiresAt() const
+    {
+      return reported_at + Common::Milliseconds(reported.expires_in_ms);
+    }
   };
   struct Bucket
   {
@@ -98,33 +103,34 @@
     Common::TimePoint filled_at;
     std::optional<Common::TimePoint> granted_at; ///< Time of the last grant.
     /// When a daemon last reported that it waits or that it may probe. If that is long ago, or a
-    /// search has found none since, `wants` need not be searched.
-    std::optional<Common::TimePoint> wait_told_at;
-    std::optional<Common::TimePoint> probe_told_at;
-    std::map<Common::VmId, Want> wants;
+    /// search has found none since, `demands` need not be searched.
+    std::optional<Common::TimePoint> wait_reported_at;
+    std::optional<Common::TimePoint> probe_reported_at;
+    std::map<Common::VmId, ServerDemand> demands;
     std::vector<Common::VmId> standbys;
 
-    double Flow() const { return FlowPerSecond(rate); }
+    double FillRate() const { return SendRate(rate); }
     double Capacity() const;
     void Fill(Common::TimePoint now);
     bool MayHaveWaiting(Common::TimePoint now) const;
     bool MayHaveProbes(Common::TimePoint now) const;
     /// When a permit may be granted to a daemon that only probes.
     Common::TimePoint ProbeDueAt() const;
-    /// The entry to serve next; `wants.end()` if there is none.
-    std::map<Common::VmId, Want>::iterator MostUrgent(Common::TimePoint now);
+    /// The entry to serve next; `demands.end()` if there is none.
+    std::map<Common::VmId, ServerDemand>::iterator MostUrgent(Common::TimePoint now);
     /// Prefers daemons in the server's data centre, which still reach it if that is cut off.
     void ChooseStandbys();
   };
 
-  void TakeWant(const Asker& asker, const PermitWant& told, Common::TimePoint now);
+  void UpdateServerDemand(const Requester& requester, const PermitDemand& reported,
+                          Common::TimePoint now);
   /// Drops daemons that have not sent their demand for a long time.
-  void ForgetSilent(Common::TimePoint now);
+  void RemoveInactive(Common::TimePoint now);
 
   std::map<ServerKey, Bucket> m_buckets;
   /// Servers in the last message of each daemon.
-  std::map<Common::VmId, std::set<ServerKey>> m_wanted_by;
-  Common::TimePoint m_looked_for_silent_at;
+  std::map<Common::VmId, std::set<ServerKey>> m_servers_by_daemon;
+  Common::TimePoint m_last_cleanup_at;
   Counters m_totals;
 };
 } // namespace RateLimits
--- a/Source/Core/Serving/LoadPacer.cpp
+++ b/Source/Core/Serving/LoadPacer.cpp
@@ -22,7 +22,7 @@
 {
   Waiter waiter;
   waiter.load.claim = request.claim;
-  waiter.load.asked = Now();
+  waiter.load.requested_at = Now();
   waiter.load.deadline = Now() + Milliseconds(request.patience_ms);
   waiter.load.weight = request.weight;
   waiter.load.waiting = request.waiting;
--- a/Source/Core/Serving/ModelHome.cpp
+++ b/Source/Core/Serving/ModelHome.cpp
@@ -234,7 +234,7 @@
     m_environment.explain.Add("place",
                               {request.request.Get(), artifact.id.Get(), placement->server.Get()},
                               {{"server", placement->server.Get()},
-                               {"why", placement->why},
+                               {"why", placement->reason},
                                {"evicted", placement->evict.size()},
                                {"candidates", candidates.size()},
                                {"waiting", request.waiting}});
--- a/Source/Core/Serving/ServerWatch.cpp
+++ b/Source/Core/Serving/ServerWatch.cpp
@@ -30,7 +30,7 @@
 using Daemons::HolderStatus;
 using Daemons::ReplicaState;
 using Decisions::ClaimState;
-using Decisions::OrderKnowledge;
+using Decisions::OrderStatus;
 using Decisions::ReconcileAction;
 using Decisions::ReportedState;
 
@@ -151,7 +151,7 @@
   });
 }
 
-OrderKnowledge ServerWatch::KnowledgeOf(const Claim& claim, TimePoint* since) const
+OrderStatus ServerWatch::KnowledgeOf(const Claim& claim, TimePoint* since) const
 {
   if (IsMine(claim))
   {
@@ -159,23 +159,23 @@
     if (order == m_orders.end())
     {
       // Committed by a delayed copy of a transaction that this daemon had given up.
-      return OrderKnowledge::NotSent;
+      return OrderStatus::NotSent;
     }
     *since = order->second.ended;
     if (order->second.in_progress)
-      return OrderKnowledge::InProgress;
-    return order->second.sent ? OrderKnowledge::Unknown : OrderKnowledge::NotSent;
+      return OrderStatus::InProgress;
+    return order->second.sent ? OrderStatus::Unknown : OrderStatus::NotSent;
   }
   switch (m_environment.membership.StatusOf(claim.holder, claim.holder_incarnation, Now(), since))
   {
   case HolderStatus::Alive:
-    return OrderKnowledge::HolderAlive;
+    return OrderStatus::HolderAlive;
   case HolderStatus::Silent:
-    return OrderKnowledge::HolderSilent;
+    return OrderStatus::HolderUnresponsive;
   case HolderStatus::Gone:
-    return OrderKnowledge::HolderGone;
+    return OrderStatus::HolderTerminated;
   }
-  return OrderKnowledge::HolderSilent;
+  return OrderStatus::HolderUnresponsive;
 }
 
 bool ServerWatch::IsGone() const
@@ -194,7 +194,7 @@
     // Its memory is gone with it, and no connection to it lasts.
     input.reported = ReportedState::Absent;
     input.order = KnowledgeOf(claim, &since);
-    input.same_incarnation = false;
+    input.same_instance = false;
     input.settled = true;
     return input;
   }
@@ -203,7 +203,7 @@
   input.reported = current ? ToReported(Reported(claim.artifact)) : ReportedState::Unknown;
   input.order = KnowledgeOf(claim, &since);
   input.engine_checks_fencing = m_server.checks_fencing && m_report->checks_fencing;
-  input.same_incarnation = claim.server_incarnation == m_report->incarnation;
+  input.same_instance = claim.server_incarnation == m_report->incarnation;
   input.fence_raised =
       m_fenced_incarnation == m_report->incarnation && m_confirmed_fence > claim.fence;
   const auto absent = m_absent_since.find(claim.artifact);
--- a/Source/Core/Serving/ServerWatch.h
+++ b/Source/Core/Serving/ServerWatch.h
@@ -71,7 +71,7 @@
   void ReturnPermit(Common::ClaimId claim);
 
   Decisions::ReconcileInput Describe(const Claim& claim);
-  Decisions::OrderKnowledge KnowledgeOf(const Claim& claim, Common::TimePoint* since) const;
+  Decisions::OrderStatus KnowledgeOf(const Claim& claim, Common::TimePoint* since) const;
   const BackendServers::LoadedArtifact* Reported(const Common::ArtifactId& id) const;
   bool IsMine(const Claim& claim) const;
   /// The server's VM was taken away by the platform.
--- a/Source/UnitTests/Decisions/PlanEquivalenceTest.cpp
+++ b/Source/UnitTests/Decisions/PlanEquivalenceTest.cpp
@@ -31,7 +31,7 @@
   return Name("m", At(model));
 }
 
-ReferencePlan::ReplicaPlanInput ByNames(const ReplicaPlanInput& input)
+ReferencePlan::ReplicaPlanInput ToReferenceInput(const ReplicaPlanInput& input)
 {
   ReferencePlan::ReplicaPlanInput result;
   result.now = input.now;
@@ -79,37 +79,37 @@
   return result;
 }
 
-using OrderText = std::tuple<bool, std::string, std::string, std::string, int>;
+using OrderTuple = std::tuple<bool, std::string, std::string, std::string, int>;
 
-std::vector<OrderText> Texts(const std::vector<PlannedOrder>& orders)
+std::vector<OrderTuple> ToTuples(const std::vector<PlannedOrder>& orders)
 {
-  std::vector<OrderText> texts;
-  texts.reserve(orders.size());
+  std::vector<OrderTuple> tuples;
+  tuples.reserve(orders.size());
   for (const PlannedOrder& order : orders)
-    texts.emplace_back(order.kind == PlannedOrder::Kind::Load, Name("s", At(order.server)),
-                       ModelName(order.model), order.for_model ? ModelName(*order.for_model) : "",
-                       static_cast<int>(order.source));
-  return texts;
+    tuples.emplace_back(order.kind == PlannedOrder::Kind::Load, Name("s", At(order.server)),
+                        ModelName(order.model), order.for_model ? ModelName(*order.for_model) : "",
+                        static_cast<int>(order.source));
+  return tuples;
 }
 
-std::vector<OrderText> Texts(const std::vector<ReferencePlan::PlannedOrder>& orders)
+std::vector<OrderTuple> ToTuples(const std::vector<ReferencePlan::PlannedOrder>& orders)
 {
-  std::vector<OrderText> texts;
-  texts.reserve(orders.size());
+  std::vector<OrderTuple> tuples;
+  tuples.reserve(orders.size());
   for (const ReferencePlan::PlannedOrder& order : orders)
-    texts.emplace_back(order.kind == ReferencePlan::PlannedOrder::Kind::Load, order.instance,
-                       order.model, order.for_model, static_cast<int>(order.source));
-  return texts;
+    tuples.emplace_back(order.kind == ReferencePlan::PlannedOrder::Kind::Load, order.instance,
+                        order.model, order.for_model, static_cast<int>(order.source));
+  return tuples;
 }
 
 class PlanEquivalenceTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PlanEquivalenceTest);
-  CPPUNIT_TEST(BothFormsGiveTheSameOrders);
-  CPPUNIT_TEST(WorkGrowsWithWhatWaits);
+  CPPUNIT_TEST(MatchesReferencePlanner);
+  CPPUNIT_TEST(WorkScalesWithWaitingRequests);
   CPPUNIT_TEST_SUITE_END();
 
-  void BothFormsGiveTheSameOrders()
+  void MatchesReferencePlanner()
   {
     constexpr int FLEETS = 400;
     std::size_t orders = 0;
@@ -118,8 +118,8 @@
       pcg64 random(seed);
       const FleetSize size{3 + random() % 20, 10 + random() % 80, random() % 15};
       const ReplicaPlanInput input = RandomFleet(size, random);
-      const auto ours = Texts(Decisions::PlanReplicas(input).orders);
-      const auto reference = Texts(ReferencePlan::PlanReplicas(ByNames(input)));
+      const auto ours = ToTuples(Decisions::PlanReplicas(input).orders);
+      const auto reference = ToTuples(ReferencePlan::PlanReplicas(ToReferenceInput(input)));
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed), ours == reference);
       orders += ours.size();
     }
@@ -128,7 +128,7 @@
 
   /// A fleet whose models have no arrivals and no running requests: the waiting requests are the
   /// only demand.
-  static ReplicaPlanInput QuietFleet(const FleetSize& size, int store_loads)
+  static ReplicaPlanInput IdleFleet(const FleetSize& size, int store_loads)
   {
     pcg64 random(7);
     ReplicaPlanInput input = RandomFleet(size, random);
@@ -143,10 +143,10 @@
 
   /// With ten times the servers and models and the same waiting requests, the number of evaluated
   /// candidates stays about the same, since only servers with a copy are considered.
-  void WorkGrowsWithWhatWaits()
+  void WorkScalesWithWaitingRequests()
   {
     const auto candidates = [](const FleetSize& size, int store_loads) {
-      return Decisions::PlanReplicas(QuietFleet(size, store_loads)).candidates;
+      return Decisions::PlanReplicas(IdleFleet(size, store_loads)).candidates;
     };
     const std::size_t for_small = candidates({256, 1375, 100}, 0);
     const std::size_t for_large = candidates({2560, 13750, 100}, 0);
--- a/Source/UnitTests/Decisions/PolicyTest.cpp
+++ b/Source/UnitTests/Decisions/PolicyTest.cpp
@@ -21,19 +21,19 @@
 class PolicyTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PolicyTest);
-  CPPUNIT_TEST(RendezvousMovesOnlyTheKeysOfTheLostMember);
+  CPPUNIT_TEST(RendezvousRemapsOnlyKeysOfRemovedMember);
   CPPUNIT_TEST(PlacementPrefersTheNearestCheckpoint);
-  CPPUNIT_TEST(PlacementEvictsNoMoreThanItNeeds);
-  CPPUNIT_TEST(PlacementGivesNothingWhereItFitsNowhere);
+  CPPUNIT_TEST(PlacementEvictsNoMoreThanNeeded);
+  CPPUNIT_TEST(PlacementFailsIfNothingFits);
   CPPUNIT_TEST(QueueSharesByWeightAndOrdersByDeadline);
   CPPUNIT_TEST(RetentionFollowsTheExchangeRate);
-  CPPUNIT_TEST(RoutingNeverExceedsALimit);
-  CPPUNIT_TEST(LoadOrderTakesTheUrgentOne);
+  CPPUNIT_TEST(RoutingNeverExceedsLimits);
+  CPPUNIT_TEST(LoadOrderPrefersUrgentLoads);
   CPPUNIT_TEST(RetryBudgetBoundsRetries);
-  CPPUNIT_TEST(AdmissionRefusesWhatCannotBeMet);
+  CPPUNIT_TEST(AdmissionRefusesUnmeetableDeadlines);
   CPPUNIT_TEST_SUITE_END();
 
-  void RendezvousMovesOnlyTheKeysOfTheLostMember()
+  void RendezvousRemapsOnlyKeysOfRemovedMember()
   {
     std::vector<VmId> members;
     members.reserve(6);
@@ -72,7 +72,7 @@
                    VmId("a"));
   }
 
-  void PlacementEvictsNoMoreThanItNeeds()
+  void PlacementEvictsNoMoreThanNeeded()
   {
     auto candidate = Candidate("a", 10, Decisions::CacheLevel::Disk);
     candidate.evictable = {{ClaimId("small"), {}, MegaBytes(20), Milliseconds(5), 1},
@@ -81,7 +81,7 @@
     CPPUNIT_ASSERT(placement && placement->evict == std::vector<ClaimId>{ClaimId("large")});
   }
 
-  void PlacementGivesNothingWhereItFitsNowhere()
+  void PlacementFailsIfNothingFits()
   {
     const std::vector candidates{Candidate("a", 10, Decisions::CacheLevel::Memory)};
     CPPUNIT_ASSERT(!Decisions::CacheAwarePlacement().Choose(candidates, MegaBytes(11)));
@@ -123,7 +123,7 @@
     CPPUNIT_ASSERT(Decisions::FixedKeepAlive(Milliseconds(1000)).ShouldUnload(use));
   }
 
-  void RoutingNeverExceedsALimit()
+  void RoutingNeverExceedsLimits()
   {
     Common::Random random(7);
     Decisions::RouteCandidate full;
@@ -138,7 +138,7 @@
       CPPUNIT_ASSERT(Decisions::AffinityRouting().Choose({full, open}, "prompt", random) == 1U);
   }
 
-  void LoadOrderTakesTheUrgentOne()
+  void LoadOrderPrefersUrgentLoads()
   {
     const TimePoint now = TimePoint() + std::chrono::hours(1);
     const std::vector<Decisions::WaitingLoad> loads{
@@ -160,7 +160,7 @@
     CPPUNIT_ASSERT(retries <= 110);
   }
 
-  void AdmissionRefusesWhatCannotBeMet()
+  void AdmissionRefusesUnmeetableDeadlines()
   {
     Decisions::AdmissionInput input;
     input.until_deadline = Milliseconds(1000);
--- a/Source/UnitTests/Decisions/RandomFleet.cpp
+++ b/Source/UnitTests/Decisions/RandomFleet.cpp
@@ -14,29 +14,29 @@
 
 namespace
 {
-constexpr std::size_t PLACES = 3;
+constexpr std::size_t MAX_LOADED = 3;
 constexpr std::size_t IN_HOST_MEMORY = 2;
 constexpr std::size_t ON_DISK = 18;
 constexpr double SERVER_MB = 230000;
 
-ModelIndex AnyModel(std::size_t models, pcg64& random)
+ModelIndex RandomModel(std::size_t models, pcg64& random)
 {
   return ModelIndex(static_cast<std::uint32_t>(static_cast<std::uint64_t>(random()) % models));
 }
 
-std::vector<ModelIndex> SomeModels(std::size_t count, std::size_t models, pcg64& random)
+std::vector<ModelIndex> RandomModels(std::size_t count, std::size_t models, pcg64& random)
 {
   std::vector<ModelIndex> result;
   while (result.size() < std::min(count, models))
   {
-    const ModelIndex drawn = AnyModel(models, random);
+    const ModelIndex drawn = RandomModel(models, random);
     if (std::ranges::find(result, drawn) == result.end())
       result.push_back(drawn);
   }
   return result;
 }
 
-PlannedModel SomeModel(pcg64& random, Common::TimePoint now)
+PlannedModel MakeModel(pcg64& random, Common::TimePoint now)
 {
   PlannedModel model;
   model.memory_mb = random() % 3 == 0 ? 65100 : 72700;
@@ -48,17 +48,17 @@
   return model;
 }
 
-PlannedServer SomeServer(std::size_t models, pcg64& random, Common::TimePoint now)
+PlannedServer MakeServer(std::size_t models, pcg64& random, Common::TimePoint now)
 {
   PlannedServer server;
   server.memory_mb = SERVER_MB;
   server.usable = random() % 10 != 0;
   server.order_open = random() % 5 == 0;
-  for (const ModelIndex model : SomeModels(random() % (PLACES + 1), models, random))
+  for (const ModelIndex model : RandomModels(random() % (MAX_LOADED + 1), models, random))
     server.replicas.push_back({model, random() % 2 == 0 ? static_cast<int>(random() % 5) : 0,
                                now - Milliseconds(random() % 5000)});
   if (server.order_open)
-    server.loading = AnyModel(models, random);
+    server.loading = RandomModel(models, random);
   for (const PlannedReplica& replica : server.replicas)
     server.in_flight += replica.in_flight;
   return server;
@@ -72,17 +72,17 @@
   input.batch = 12;
   input.store_loads_allowed = static_cast<int>(random() % 4);
   for (std::size_t i = 0; i < size.models; ++i)
-    input.models.push_back(SomeModel(random, input.now));
+    input.models.push_back(MakeModel(random, input.now));
   for (std::size_t i = 0; i < size.servers; ++i)
   {
-    input.servers.push_back(SomeServer(size.models, random, input.now));
-    input.copies.Set(ServerIndex(i), SomeModels(IN_HOST_MEMORY, size.models, random),
-                     SomeModels(ON_DISK, size.models, random));
+    input.servers.push_back(MakeServer(size.models, random, input.now));
+    input.copies.Set(ServerIndex(i), RandomModels(IN_HOST_MEMORY, size.models, random),
+                     RandomModels(ON_DISK, size.models, random));
   }
   for (const PlannedServer& server : input.servers)
     for (const PlannedReplica& replica : server.replicas)
       input.models[At(replica.model)].in_flight += replica.in_flight;
-  for (const ModelIndex index : SomeModels(size.waiting, size.models, random))
+  for (const ModelIndex index : RandomModels(size.waiting, size.models, random))
   {
     PlannedModel& model = input.models[At(index)];
     model.waiting = 1 + static_cast<int>(random() % 6);
--- a/Source/UnitTests/Decisions/ReconcileTest.cpp
+++ b/Source/UnitTests/Decisions/ReconcileTest.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 using Decisions::ClaimState;
-using Decisions::OrderKnowledge;
+using Decisions::OrderStatus;
 using Decisions::Reconcile;
 using Decisions::ReconcileAction;
 using Decisions::ReconcileInput;
@@ -17,16 +17,16 @@
 class ReconcileTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ReconcileTest);
-  CPPUNIT_TEST(NothingIsDecidedWithoutAReport);
-  CPPUNIT_TEST(AnOrderThatArrivedIsDefinite);
-  CPPUNIT_TEST(ASilentHolderKeepsItsClaimOnAnEngineThatIgnores);
-  CPPUNIT_TEST(ASilentHolderIsFencedOffOnAnEngineThatChecks);
-  CPPUNIT_TEST(AGoneHolderSettlesOnlyAfterTheSettlingTime);
-  CPPUNIT_TEST(AnUnsentOrderIsFreedAtOnce);
-  CPPUNIT_TEST(NoStateIsEverFreedWhileTheArtifactIsThere);
+  CPPUNIT_TEST(KeepsClaimWithoutReport);
+  CPPUNIT_TEST(LoadedArtifactMarksClaimLoaded);
+  CPPUNIT_TEST(KeepsClaimOfUnresponsiveHolderWithoutFencing);
+  CPPUNIT_TEST(FencesUnresponsiveHolder);
+  CPPUNIT_TEST(FreesClaimOfTerminatedHolderAfterSettlingTime);
+  CPPUNIT_TEST(FreesClaimOfUnsentOrderImmediately);
+  CPPUNIT_TEST(NeverFreesClaimOfReportedArtifact);
   CPPUNIT_TEST_SUITE_END();
 
-  static ReconcileInput Ordered(ReportedState reported, OrderKnowledge order)
+  static ReconcileInput Ordered(ReportedState reported, OrderStatus order)
   {
     ReconcileInput input;
     input.claim = ClaimState::Ordered;
@@ -35,65 +35,65 @@
     return input;
   }
 
-  void NothingIsDecidedWithoutAReport()
+  void KeepsClaimWithoutReport()
   {
-    for (const auto order : {OrderKnowledge::NotSent, OrderKnowledge::Unknown,
-                             OrderKnowledge::HolderGone, OrderKnowledge::HolderSilent})
+    for (const auto order : {OrderStatus::NotSent, OrderStatus::Unknown,
+                             OrderStatus::HolderTerminated, OrderStatus::HolderUnresponsive})
       CPPUNIT_ASSERT(Reconcile(Ordered(ReportedState::Unknown, order)) == ReconcileAction::Keep);
   }
 
-  void AnOrderThatArrivedIsDefinite()
+  void LoadedArtifactMarksClaimLoaded()
   {
-    for (const auto order : {OrderKnowledge::Unknown, OrderKnowledge::HolderGone,
-                             OrderKnowledge::HolderSilent, OrderKnowledge::HolderAlive})
+    for (const auto order : {OrderStatus::Unknown, OrderStatus::HolderTerminated,
+                             OrderStatus::HolderUnresponsive, OrderStatus::HolderAlive})
       CPPUNIT_ASSERT(Reconcile(Ordered(ReportedState::Loaded, order)) ==
                      ReconcileAction::MarkLoaded);
   }
 
-  void ASilentHolderKeepsItsClaimOnAnEngineThatIgnores()
+  void KeepsClaimOfUnresponsiveHolderWithoutFencing()
   {
-    ReconcileInput input = Ordered(ReportedState::Absent, OrderKnowledge::HolderSilent);
+    ReconcileInput input = Ordered(ReportedState::Absent, OrderStatus::HolderUnresponsive);
     input.settled = true;
     input.fence_raised = true;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::Keep);
-    input.same_incarnation = false;
+    input.same_instance = false;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::Keep);
   }
 
-  void ASilentHolderIsFencedOffOnAnEngineThatChecks()
+  void FencesUnresponsiveHolder()
   {
-    ReconcileInput input = Ordered(ReportedState::Absent, OrderKnowledge::HolderSilent);
+    ReconcileInput input = Ordered(ReportedState::Absent, OrderStatus::HolderUnresponsive);
     input.engine_checks_fencing = true;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::RaiseFence);
     input.fence_raised = true;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::Free);
   }
 
-  void AGoneHolderSettlesOnlyAfterTheSettlingTime()
+  void FreesClaimOfTerminatedHolderAfterSettlingTime()
   {
-    ReconcileInput input = Ordered(ReportedState::Absent, OrderKnowledge::HolderGone);
+    ReconcileInput input = Ordered(ReportedState::Absent, OrderStatus::HolderTerminated);
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::Keep);
     input.settled = true;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::Free);
   }
 
-  void AnUnsentOrderIsFreedAtOnce()
+  void FreesClaimOfUnsentOrderImmediately()
   {
-    CPPUNIT_ASSERT(Reconcile(Ordered(ReportedState::Absent, OrderKnowledge::NotSent)) ==
+    CPPUNIT_ASSERT(Reconcile(Ordered(ReportedState::Absent, OrderStatus::NotSent)) ==
                    ReconcileAction::Free);
   }
 
   /// Exhaustive over all inputs: a claim is never freed while the engine reports its artifact and
   /// its order may have been sent.
-  void NoStateIsEverFreedWhileTheArtifactIsThere()
+  void NeverFreesClaimOfReportedArtifact()
   {
     for (int bits = 0; bits < 16; ++bits)
       for (const auto claim : {ClaimState::Ordered, ClaimState::Loaded, ClaimState::Unloading})
         for (const auto reported :
              {ReportedState::Loading, ReportedState::Loaded, ReportedState::Unloading})
           for (const auto order :
-               {OrderKnowledge::InProgress, OrderKnowledge::Unknown, OrderKnowledge::HolderAlive,
-                OrderKnowledge::HolderSilent, OrderKnowledge::HolderGone})
+               {OrderStatus::InProgress, OrderStatus::Unknown, OrderStatus::HolderAlive,
+                OrderStatus::HolderUnresponsive, OrderStatus::HolderTerminated})
           {
             const ReconcileInput input{claim,           reported,        order,
                                        (bits & 1) != 0, (bits & 2) != 0, (bits & 4) != 0,
--- a/Source/UnitTests/Decisions/ReferencePlan.cpp
+++ b/Source/UnitTests/Decisions/ReferencePlan.cpp
@@ -16,7 +16,7 @@
 
 /// Fraction of a replica's batch size that may be in use before another replica is wanted: above it
 /// the token latency of all requests rises noticeably, and a crash fails more requests.
-constexpr double COMFORTABLE_FILL = 0.25;
+constexpr double TARGET_UTILIZATION = 0.25;
 /// Models with at least this arrival rate keep a second replica, so that a crash does not leave
 /// them unserved.
 constexpr double SPARE_REPLICA_ABOVE_PER_SECOND = 1.0;
@@ -24,13 +24,13 @@
 constexpr Milliseconds MIN_IDLE{400};
 /// Minimum time to keep a replica after its load, so that the requests that waited for it are
 /// served.
-constexpr Milliseconds MIN_STAY{600};
+constexpr Milliseconds MIN_RESIDENCE{600};
 /// A model without a replica whose requests have waited this long may evict a model in use. An
 /// unload waits for the running requests of its model, so none is interrupted, and models share the
 /// servers in turn if more are in use than fit.
-constexpr Milliseconds TURN_WAIT{900};
+constexpr Milliseconds EVICT_IN_USE_AFTER{900};
 /// Minimum time to keep a replica in use before it may be evicted for a waiting model.
-constexpr Milliseconds MIN_TURN{1500};
+constexpr Milliseconds MIN_RESIDENCE_IN_USE{1500};
 /// Cost of each running request of an evicted replica: the unload waits for it.
 constexpr double VICTIM_RUN_COST_MS = 150;
 /// Delay that an unload adds before the load can start.
@@ -79,7 +79,7 @@
 {
 public:
   explicit Planner(const ReplicaPlanInput& input)
-      : m_input(input), m_store_left(input.store_loads_allowed)
+      : m_input(input), m_store_loads_left(input.store_loads_allowed)
   {
     for (const PlannedServer& server : input.servers)
       for (const PlannedReplica& replica : server.replicas)
@@ -100,15 +100,15 @@
   /// Models with fewer replicas than wanted, most urgent first.
   std::vector<const PlannedModel*> ByUrgency() const
   {
-    std::vector<const PlannedModel*> lacking;
+    std::vector<const PlannedModel*> under_replicated;
     for (const auto& [name, model] : m_input.models)
-      if (Lacks(model))
-        lacking.push_back(&model);
-    std::ranges::sort(lacking, {}, [&](const PlannedModel* model) {
-      const bool unserved = Unserved(*model) && model->waiting > 0;
+      if (IsUnderReplicated(model))
+        under_replicated.push_back(&model);
+    std::ranges::sort(under_replicated, {}, [&](const PlannedModel* model) {
+      const bool unserved = IsUnserved(*model) && model->waiting > 0;
       return std::tuple(!unserved, model->waiting == 0, -Urgency(*model));
     });
-    return lacking;
+    return under_replicated;
   }
 
   /// Models with more waiting requests come first. Priority and waiting time also count, so that no
@@ -131,7 +131,7 @@
     return found == m_loading.end() ? 0 : found->second;
   }
 
-  bool Unserved(const PlannedModel& model) const { return Replicas(model) + Loading(model) == 0; }
+  bool IsUnserved(const PlannedModel& model) const { return Replicas(model) + Loading(model) == 0; }
 
   int Wanted(const PlannedModel& model) const
   {
@@ -139,7 +139,7 @@
     return WantedReplicas(model, batch);
   }
 
-  bool Lacks(const PlannedModel& model) const
+  bool IsUnderReplicated(const PlannedModel& model) const
   {
     return Replicas(model) + Loading(model) < Wanted(model);
   }
@@ -147,8 +147,8 @@
   void PlaceModel(const PlannedModel& model)
   {
     // Additional replicas are loaded only from disk or host memory, not from the weight store.
-    const bool unserved = Unserved(model);
-    const bool store_allowed = unserved && m_store_left > 0 && !MayWaitForDisk(model);
+    const bool unserved = IsUnserved(model);
+    const bool store_allowed = unserved && m_store_loads_left > 0 && !ShouldWaitForDisk(model);
     std::optional<Candidate> best;
     for (const PlannedServer& server : m_input.servers)
     {
@@ -162,13 +162,13 @@
         best = candidate;
     }
     if (best)
-      Give(*best, model);
+      AddOrder(*best, model);
   }
 
   /// True if a usable server has a copy of the weights, even if it is busy now, and the wait so far
   /// is shorter than the time that a load from there saves. A load from the weight store would
   /// block orders to another server for its whole duration.
-  bool MayWaitForDisk(const PlannedModel& model) const
+  bool ShouldWaitForDisk(const PlannedModel& model) const
   {
     const bool lies_near = std::ranges::any_of(m_input.servers, [&](const PlannedServer& server) {
       return server.usable && SourceOn(server, model.model) != WeightSource::WeightStore;
@@ -188,13 +188,13 @@
                         COST_PER_RUNNING_MS * server.in_flight;
     if (FreeMemory(server) >= model.memory_mb)
       return candidate;
-    candidate.victim = VictimOn(server, model.memory_mb, [&](const PlannedReplica& replica) {
-      return MayGive(server, replica);
+    candidate.victim = ChooseVictim(server, model.memory_mb, [&](const PlannedReplica& replica) {
+      return CanEvict(server, replica);
     });
-    const bool takes_turns = Unserved(model) && model.oldest_wait >= TURN_WAIT;
-    if (candidate.victim == nullptr && takes_turns)
-      candidate.victim = VictimOn(server, model.memory_mb, [&](const PlannedReplica& replica) {
-        return MayGiveItsTurn(server, replica, model);
+    const bool may_evict_in_use = IsUnserved(model) && model.oldest_wait >= EVICT_IN_USE_AFTER;
+    if (candidate.victim == nullptr && may_evict_in_use)
+      candidate.victim = ChooseVictim(server, model.memory_mb, [&](const PlannedReplica& replica) {
+        return CanEvictInUse(server, replica, model);
       });
     if (candidate.victim == nullptr)
       return std::nullopt;
@@ -236,7 +236,7 @@
     return found->second.arrivals_per_second / replicas;
   }
 
-  bool MayGive(const PlannedServer& server, const PlannedReplica& replica) const
+  bool CanEvict(const PlannedServer& server, const PlannedReplica& replica) const
   {
     const auto found = m_input.models.find(replica.model);
     if (found == m_input.models.end())
@@ -244,7 +244,7 @@
     const PlannedModel& model = found->second;
     if (replica.in_flight > 0 || server.loading == replica.model)
       return false;
-    if (m_input.now - replica.since < MIN_STAY)
+    if (m_input.now - replica.since < MIN_RESIDENCE)
       return false;
     const bool surplus = Replicas(model) > std::max(Wanted(model), 1);
     if (surplus)
@@ -256,18 +256,19 @@
 
   /// True if a replica in use may be evicted for a waiting model: it has been loaded for long
   /// enough, and its model is not in higher demand.
-  bool MayGiveItsTurn(const PlannedServer& server, const PlannedReplica& replica,
-                      const PlannedModel& waiting) const
+  bool CanEvictInUse(const PlannedServer& server, const PlannedReplica& replica,
+                     const PlannedModel& waiting) const
   {
     const auto found = m_input.models.find(replica.model);
     if (found == m_input.models.end() || server.loading == replica.model ||
-        m_input.now - replica.since < MIN_TURN)
+        m_input.now - replica.since < MIN_RESIDENCE_IN_USE)
       return false;
     return found->second.in_flight <= waiting.waiting + 1;
   }
 
-  const PlannedReplica* VictimOn(const PlannedServer& server, double memory_needed,
-                                 const std::function<bool(const PlannedReplica&)>& may_give) const
+  const PlannedReplica*
+  ChooseVictim(const PlannedServer& server, double memory_needed,
+               const std::function<bool(const PlannedReplica&)>& can_evict) const
   {
     const PlannedReplica* best = nullptr;
     const double free = FreeMemory(server);
@@ -279,7 +280,7 @@
     };
     for (const PlannedReplica& replica : server.replicas)
     {
-      if (!may_give(replica) || free + MemoryOf(replica.model) < memory_needed)
+      if (!can_evict(replica) || free + MemoryOf(replica.model) < memory_needed)
         continue;
       if (best == nullptr || key(replica) < key(*best))
         best = &replica;
@@ -287,7 +288,7 @@
     return best;
   }
 
-  void Give(const Candidate& candidate, const PlannedModel& model)
+  void AddOrder(const Candidate& candidate, const PlannedModel& model)
   {
     m_ordered.insert(candidate.server->instance);
     PlannedOrder order;
@@ -307,13 +308,13 @@
       order.reason = std::to_string(model.waiting) + " waiting";
     }
     if (candidate.source == WeightSource::WeightStore)
-      --m_store_left;
+      --m_store_loads_left;
     ++m_loading[model.model];
     m_orders.push_back(std::move(order));
   }
 
   const ReplicaPlanInput& m_input;
-  int m_store_left;
+  int m_store_loads_left;
   std::map<std::string, int> m_replicas;
   std::map<std::string, int> m_loading;
   std::set<std::string> m_ordered;
@@ -327,7 +328,7 @@
       model.arrivals_per_second < SPARE_REPLICA_ABOVE_PER_SECOND)
     return 0;
   const double load = model.in_flight + model.waiting;
-  const int by_load = 1 + static_cast<int>(load / (COMFORTABLE_FILL * std::max(batch, 1)));
+  const int by_load = 1 + static_cast<int>(load / (TARGET_UTILIZATION * std::max(batch, 1)));
   const int spare = model.arrivals_per_second >= SPARE_REPLICA_ABOVE_PER_SECOND ? 2 : 1;
   return std::max(by_load, spare);
 }
--- a/Source/UnitTests/Decisions/Replays/Fleet.cpp
+++ b/Source/UnitTests/Decisions/Replays/Fleet.cpp
@@ -30,7 +30,7 @@
       m_last_wanted(settings.models, Milliseconds(-60000)),
       m_unserved(settings.models)
 {
-  PlaceAtStart();
+  LoadInitialModels();
   m_input.batch = settings.batch;
   m_input.models.resize(settings.models);
   for (std::size_t i = 0; i < settings.models; ++i)
@@ -53,11 +53,11 @@
 double Fleet::ServerMemory() const
 {
   return m_settings.server_mb > 0 ? m_settings.server_mb
-                                  : MODEL_MB * static_cast<double>(m_settings.places);
+                                  : MODEL_MB * static_cast<double>(m_settings.models_per_server);
 }
 
 /// Loads each model on one server, in round-robin order, if it has room.
-void Fleet::PlaceAtStart()
+void Fleet::LoadInitialModels()
 {
   std::vector<double> free(m_servers.size(), ServerMemory());
   for (std::size_t i = 0; i < m_settings.models; ++i)
@@ -66,7 +66,7 @@
     if (free[server] < MemoryOf(i))
       continue;
     free[server] -= MemoryOf(i);
-    m_servers[server].holds.emplace_back(i, Milliseconds(-60000));
+    m_servers[server].loaded.emplace_back(i, Milliseconds(-60000));
   }
 }
 
@@ -86,15 +86,15 @@
   }
 }
 
-std::vector<StreamResult> Fleet::Play(const std::vector<Stream>& streams, Milliseconds end)
+std::vector<StreamResult> Fleet::Simulate(const std::vector<Stream>& streams, Milliseconds end)
 {
   std::vector<StreamResult> results(streams.size());
   for (; m_now < end; m_now += STEP)
   {
-    Arrive(streams, results);
-    Finish();
-    Start(streams, results);
-    GiveUp(results);
+    AddArrivals(streams, results);
+    FinishRunsAndOrders();
+    StartRequests(streams, results);
+    ExpireRequests(results);
     if (m_now.count() % m_settings.plan_every.count() == 0)
       Plan(streams);
   }
@@ -103,7 +103,7 @@
   return results;
 }
 
-void Fleet::Arrive(const std::vector<Stream>& streams, std::vector<StreamResult>& results)
+void Fleet::AddArrivals(const std::vector<Stream>& streams, std::vector<StreamResult>& results)
 {
   const double decay = std::exp(-std::chrono::duration<double>(STEP).count() / RATE_SECONDS);
   for (double& rate : m_rates)
@@ -132,7 +132,7 @@
   return std::ranges::find(server.runs, model, &Run::model) != server.runs.end();
 }
 
-void Fleet::Finish()
+void Fleet::FinishRunsAndOrders()
 {
   for (Server& server : m_servers)
   {
@@ -148,7 +148,7 @@
       const std::size_t leaving = order.unloads.front();
       if (IsRunning(server, leaving) || order.done_at > m_now)
         continue;
-      std::erase_if(server.holds, [&](const auto& held) {
+      std::erase_if(server.loaded, [&](const auto& held) {
         return held.first == leaving;
       });
       order.unloads.erase(order.unloads.begin());
@@ -158,7 +158,7 @@
     }
     if (order.done_at > m_now)
       continue;
-    server.holds.emplace_back(order.loads, m_now);
+    server.loaded.emplace_back(order.loads, m_now);
     server.order.reset();
   }
 }
@@ -168,12 +168,12 @@
   Server* best = nullptr;
   for (Server& server : m_servers)
   {
-    const bool holds = std::ranges::any_of(server.holds, [&](const auto& held) {
+    const bool loaded = std::ranges::any_of(server.loaded, [&](const auto& held) {
       return held.first == model;
     });
     const bool leaving = server.order && std::ranges::find(server.order->unloads, model) !=
                                              server.order->unloads.end();
-    if (!holds || leaving || server.runs.size() >= static_cast<std::size_t>(m_settings.batch))
+    if (!loaded || leaving || server.runs.size() >= static_cast<std::size_t>(m_settings.batch))
       continue;
     if (best == nullptr || server.runs.size() < best->runs.size())
       best = &server;
@@ -181,7 +181,7 @@
   return best;
 }
 
-void Fleet::Start(const std::vector<Stream>& streams, std::vector<StreamResult>& results)
+void Fleet::StartRequests(const std::vector<Stream>& streams, std::vector<StreamResult>& results)
 {
   std::erase_if(m_waiting, [&](const Request& request) {
     Server* server = ServerFor(request.model);
@@ -195,7 +195,7 @@
   });
 }
 
-void Fleet::GiveUp(std::vector<StreamResult>& results)
+void Fleet::ExpireRequests(std::vector<StreamResult>& results)
 {
   std::erase_if(m_waiting, [&](const Request& request) {
     if (m_now - request.arrived < m_settings.patience)
@@ -205,11 +205,11 @@
   });
 }
 
-void Fleet::AgeUnserved()
+void Fleet::UpdateUnservedDemand()
 {
   std::vector<bool> held(m_settings.models);
   for (const Server& server : m_servers)
-    for (const auto& [model, since] : server.holds)
+    for (const auto& [model, since] : server.loaded)
       held[model] = true;
   for (std::size_t i = 0; i < m_settings.models; ++i)
   {
@@ -252,7 +252,7 @@
     store_loads += server.order && server.order->from_store ? 1 : 0;
     planned.in_flight = static_cast<int>(server.runs.size());
     planned.replicas.clear();
-    for (const auto& [model, since] : server.holds)
+    for (const auto& [model, since] : server.loaded)
     {
       const auto runs = std::ranges::count(server.runs, model, &Run::model);
       planned.replicas.push_back(
@@ -260,7 +260,7 @@
       m_input.models[model].in_flight += static_cast<int>(runs);
     }
   }
-  AgeUnserved();
+  UpdateUnservedDemand();
   m_input.store_loads_allowed = std::max(m_settings.store_loads_at_once - store_loads, 0);
   for (const Decisions::PlannedOrder& given : Decisions::PlanReplicas(m_input).orders)
   {
--- a/Source/UnitTests/Decisions/Replays/Fleet.h
+++ b/Source/UnitTests/Decisions/Replays/Fleet.h
@@ -46,9 +46,9 @@
 {
   std::size_t servers = 24;
   std::size_t models = 100;
-  std::size_t places = 3; ///< Models that fit on a server at the same time.
+  std::size_t models_per_server = 3; ///< Models that fit on a server at the same time.
   std::size_t on_disk = 18;
-  double server_mb = 0;          ///< Memory for models; 0: enough for `places` models.
+  double server_mb = 0;          ///< Memory for models; 0: enough for `models_per_server` models.
   std::vector<double> models_mb; ///< Memory of each model; empty: all the same.
   /// Models on the disk of each server; empty: chosen at random.
   std::vector<std::vector<std::size_t>> disks;
@@ -69,7 +69,7 @@
   Fleet(const FleetSettings& settings, std::uint64_t seed);
 
   /// Simulates the streams until `end`; returns one result per stream.
-  std::vector<StreamResult> Play(const std::vector<Stream>& streams, Common::Milliseconds end);
+  std::vector<StreamResult> Simulate(const std::vector<Stream>& streams, Common::Milliseconds end);
 
 private:
   struct Request
@@ -93,22 +93,22 @@
   };
   struct Server
   {
-    std::vector<std::pair<std::size_t, Common::Milliseconds>> holds; ///< Models and load times.
+    std::vector<std::pair<std::size_t, Common::Milliseconds>> loaded; ///< Models and load times.
     std::vector<Run> runs;
     std::optional<Order> order;
   };
 
-  void Arrive(const std::vector<Stream>& streams, std::vector<StreamResult>& results);
-  void Finish();
-  void Start(const std::vector<Stream>& streams, std::vector<StreamResult>& results);
-  void GiveUp(std::vector<StreamResult>& results);
+  void AddArrivals(const std::vector<Stream>& streams, std::vector<StreamResult>& results);
+  void FinishRunsAndOrders();
+  void StartRequests(const std::vector<Stream>& streams, std::vector<StreamResult>& results);
+  void ExpireRequests(std::vector<StreamResult>& results);
   void Plan(const std::vector<Stream>& streams);
   double MemoryOf(std::size_t model) const;
   double ServerMemory() const;
-  void PlaceAtStart();
+  void LoadInitialModels();
   void FillDisks();
   Server* ServerFor(std::size_t model);
-  void AgeUnserved();
+  void UpdateUnservedDemand();
   bool IsRunning(const Server& server, std::size_t model) const;
 
   FleetSettings m_settings;
--- a/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
+++ b/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
@@ -51,13 +51,13 @@
 class NeverServedTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(NeverServedTest);
-  CPPUNIT_TEST(ALargeModelAmongSmallerOnes);
-  CPPUNIT_TEST(ADiskCopyWhoseServerIsNeverFree);
+  CPPUNIT_TEST(ServesLargeModelAmongSmallerOnes);
+  CPPUNIT_TEST(ServesModelWhoseDiskServerIsAlwaysBusy);
   CPPUNIT_TEST_SUITE_END();
 
   /// Eight models of 34 to 66 GB are requested alternately and fill the only server, which has
   /// copies of all models. From 10 s on, most requests are for a ninth model of 73 GB.
-  void ALargeModelAmongSmallerOnes()
+  void ServesLargeModelAmongSmallerOnes()
   {
     FleetSettings settings = ImpatientFleet();
     settings.servers = 1;
@@ -70,7 +70,7 @@
         {8, 1, 20, Milliseconds(10000), Milliseconds(40000), Milliseconds(2000), 0}};
     for (std::uint64_t seed = 1; seed <= 8; ++seed)
     {
-      const auto results = Fleet(settings, seed).Play(streams, Milliseconds(42000));
+      const auto results = Fleet(settings, seed).Simulate(streams, Milliseconds(42000));
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + ": " + Text(results[1]),
                              results[1].Served() > results[1].asked / 2);
       CPPUNIT_ASSERT_MESSAGE("seed " + std::to_string(seed) + ": " + Text(results[0]),
@@ -80,7 +80,7 @@
 
   /// The server with the only copy of a fourth model has three models loaded that are in continuous
   /// use. A second server is idle and has no copy. The fourth model is requested from 5 s on.
-  void ADiskCopyWhoseServerIsNeverFree()
+  void ServesModelWhoseDiskServerIsAlwaysBusy()
   {
     FleetSettings settings = ImpatientFleet();
     settings.servers = 2;
@@ -93,7 +93,7 @@
     for (const std::size_t in_use : {0, 2, 4})
       streams.push_back(
           {in_use, 1, 100, Milliseconds(0), Milliseconds(35000), Milliseconds(2000), 0});
-    const auto results = Fleet(settings, 1).Play(streams, Milliseconds(37000));
+    const auto results = Fleet(settings, 1).Simulate(streams, Milliseconds(37000));
     // The first 11.6 s are unserved: about 5.5 s until the load is ordered and 6.1 s of loading.
     CPPUNIT_ASSERT_MESSAGE(Text(results[0]), results[0].Served() > results[0].asked / 2);
   }
--- a/Source/UnitTests/Decisions/Replays/WorstLoadTest.cpp
+++ b/Source/UnitTests/Decisions/Replays/WorstLoadTest.cpp
@@ -19,13 +19,13 @@
 constexpr int SEEDS = 8;
 
 /// Sums the results of all seeds.
-std::vector<StreamResult> PlaySeeds(const FleetSettings& settings,
-                                    const std::vector<Stream>& streams, Milliseconds end)
+std::vector<StreamResult> SimulateSeeds(const FleetSettings& settings,
+                                        const std::vector<Stream>& streams, Milliseconds end)
 {
   std::vector<StreamResult> sums(streams.size());
   for (std::uint64_t seed = 1; seed <= SEEDS; ++seed)
   {
-    const auto results = Fleet(settings, seed).Play(streams, end);
+    const auto results = Fleet(settings, seed).Simulate(streams, end);
     for (std::size_t i = 0; i < sums.size(); ++i)
     {
       sums[i].asked += results[i].asked;
@@ -50,13 +50,13 @@
 class WorstLoadTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(WorstLoadTest);
-  CPPUNIT_TEST(DemandJumpsToModelsWithOneReplica);
+  CPPUNIT_TEST(DemandShiftsToModelsWithOneReplica);
   CPPUNIT_TEST(ManyRareModelsInABurst);
   CPPUNIT_TEST_SUITE_END();
 
   /// At 2 s demand shifts to four models with one replica each, at 14 requests per second each.
   /// Meanwhile 300 other models are requested rarely, most of which are not loaded.
-  void DemandJumpsToModelsWithOneReplica()
+  void DemandShiftsToModelsWithOneReplica()
   {
     FleetSettings settings;
     settings.servers = 48;
@@ -66,7 +66,7 @@
       streams.push_back(
           {model, 1, 14, Milliseconds(2000), Milliseconds(12000), Milliseconds(500), 1});
     streams.push_back({4, 300, 36, Milliseconds(0), Milliseconds(12000), Milliseconds(2000), 2});
-    const auto results = PlaySeeds(settings, streams, Milliseconds(18000));
+    const auto results = SimulateSeeds(settings, streams, Milliseconds(18000));
     int busy_asked = 0;
     int busy_in_target = 0;
     for (std::size_t model = 0; model < 4; ++model)
@@ -88,10 +88,10 @@
     settings.servers = 48;
     settings.models = 260;
     const auto results =
-        PlaySeeds(settings,
-                  {{0, 260, 32, Milliseconds(0), Milliseconds(14000), Milliseconds(2000), 2},
-                   {0, 260, 45, Milliseconds(4000), Milliseconds(8000), Milliseconds(2000), 2}},
-                  Milliseconds(20000));
+        SimulateSeeds(settings,
+                      {{0, 260, 32, Milliseconds(0), Milliseconds(14000), Milliseconds(2000), 2},
+                       {0, 260, 45, Milliseconds(4000), Milliseconds(8000), Milliseconds(2000), 2}},
+                      Milliseconds(20000));
     // The planner achieves 97% and 96%. All but 20 of the other requests are for models that are on
     // no disk.
     CPPUNIT_ASSERT_MESSAGE(Text(results), results[0].ShareInTarget() > 0.94);
--- a/Source/UnitTests/Decisions/ReplicaPlanTest.cpp
+++ b/Source/UnitTests/Decisions/ReplicaPlanTest.cpp
@@ -146,26 +146,26 @@
 class ReplicaPlanTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ReplicaPlanTest);
-  CPPUNIT_TEST(NothingIsOrderedWithoutDemand);
-  CPPUNIT_TEST(AFreePlaceIsTakenFirst);
-  CPPUNIT_TEST(TheLeastWantedModelGivesWay);
-  CPPUNIT_TEST(AModelInUseStays);
-  CPPUNIT_TEST(ModelsInUseTakeTurns);
-  CPPUNIT_TEST(ABusierModelKeepsItsPlace);
-  CPPUNIT_TEST(AModelOnItsWayIsNotOrderedTwice);
-  CPPUNIT_TEST(ASecondReplicaPushesOutNothingInUse);
-  CPPUNIT_TEST(ManyThatWaitGoBeforeOne);
-  CPPUNIT_TEST(OneOrderAServer);
-  CPPUNIT_TEST(LoadsFromTheWeightStoreAreBounded);
-  CPPUNIT_TEST(ADiskIsWaitedForAsLongAsThatSavesTime);
-  CPPUNIT_TEST(ABusyModelGetsASpareReplicaFromDiskOnly);
-  CPPUNIT_TEST(UnusableServersGetNothing);
-  CPPUNIT_TEST(WhatOnlyADrainingServerHoldsIsLoadedElsewhere);
-  CPPUNIT_TEST(ALoadOnItsWayToADrainingServerIsNone);
-  CPPUNIT_TEST(SeveralModelsMakeRoomForALargeOne);
+  CPPUNIT_TEST(NoOrdersWithoutDemand);
+  CPPUNIT_TEST(PrefersFreeMemoryToEviction);
+  CPPUNIT_TEST(EvictsLeastRequestedModel);
+  CPPUNIT_TEST(KeepsModelsInUse);
+  CPPUNIT_TEST(EvictsModelInUseAfterLongWait);
+  CPPUNIT_TEST(KeepsBusierModel);
+  CPPUNIT_TEST(CountsPendingLoads);
+  CPPUNIT_TEST(PendingLoadCausesNoEviction);
+  CPPUNIT_TEST(PrefersModelWithMoreWaitingRequests);
+  CPPUNIT_TEST(OneOrderPerServer);
+  CPPUNIT_TEST(LimitsLoadsFromWeightStore);
+  CPPUNIT_TEST(WaitsForDiskWhileItSavesTime);
+  CPPUNIT_TEST(LoadsSpareReplicaOnlyFromDisk);
+  CPPUNIT_TEST(UnusableServersGetNoOrders);
+  CPPUNIT_TEST(IgnoresReplicasOnDrainingServers);
+  CPPUNIT_TEST(IgnoresPendingLoadsOnDrainingServers);
+  CPPUNIT_TEST(EvictsSeveralModelsForLargeOne);
   CPPUNIT_TEST_SUITE_END();
 
-  void ADiskIsWaitedForAsLongAsThatSavesTime()
+  void WaitsForDiskWhileItSavesTime()
   {
     NamedServer with_disk = Server("disk", {"a"});
     NamedServer without = Server("other", {"a"});
@@ -192,7 +192,7 @@
     return server;
   }
 
-  void WhatOnlyADrainingServerHoldsIsLoadedElsewhere()
+  void IgnoresReplicasOnDrainingServers()
   {
     const auto orders = PlanReplicas(
         Input({Draining("goes", {"a"}), Server("stays", {"b"})}, {Model("a", 1), Model("b")}));
@@ -201,7 +201,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a"), orders[0].model);
   }
 
-  void ALoadOnItsWayToADrainingServerIsNone()
+  void IgnoresPendingLoadsOnDrainingServers()
   {
     NamedServer goes = Draining("goes", {});
     goes.loading = "a";
@@ -211,12 +211,12 @@
     CPPUNIT_ASSERT_EQUAL(std::string("stays"), orders[0].instance);
   }
 
-  void NothingIsOrderedWithoutDemand()
+  void NoOrdersWithoutDemand()
   {
     CPPUNIT_ASSERT(PlanReplicas(Input({Server("s", {})}, {Model("a")})).empty());
   }
 
-  void AFreePlaceIsTakenFirst()
+  void PrefersFreeMemoryToEviction()
   {
     const auto orders = PlanReplicas(Input({Server("full", {"a", "b"}), Server("free", {"a"})},
                                            {Model("a"), Model("b"), Model("c", 1)}));
@@ -225,7 +225,7 @@
     CPPUNIT_ASSERT(orders[0].kind == PlannedOrder::Kind::Load);
   }
 
-  void TheLeastWantedModelGivesWay()
+  void EvictsLeastRequestedModel()
   {
     const auto orders = PlanReplicas(
         Input({Server("s", {"a", "b"})}, {Model("a", 0, 0.5), Model("b", 0, 0.1), Model("c", 1)}));
@@ -234,7 +234,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("c"), orders[0].for_model);
   }
 
-  void AModelInUseStays()
+  void KeepsModelsInUse()
   {
     NamedServer server = Server("s", {"a", "b"});
     server.replicas[0].in_flight = 1;
@@ -257,7 +257,7 @@
     return Input({server}, {a, b, waiting});
   }
 
-  void ModelsInUseTakeTurns()
+  void EvictsModelInUseAfterLongWait()
   {
     auto input = InputInUse(1);
     const auto orders = PlanReplicas(input);
@@ -268,9 +268,9 @@
     CPPUNIT_ASSERT(PlanReplicas(input).empty());
   }
 
-  void ABusierModelKeepsItsPlace() { CPPUNIT_ASSERT(PlanReplicas(InputInUse(6)).empty()); }
+  void KeepsBusierModel() { CPPUNIT_ASSERT(PlanReplicas(InputInUse(6)).empty()); }
 
-  void AModelOnItsWayIsNotOrderedTwice()
+  void CountsPendingLoads()
   {
     NamedServer loading = Server("s", {"a"});
     loading.order_open = true;
@@ -284,7 +284,7 @@
   /// of a waiting model was ordered. The next plan, 3 ms later, did not count that pending load and
   /// evicted a model in use for a second replica. Requests then waited for the evicted model, and
   /// so on.
-  void ASecondReplicaPushesOutNothingInUse()
+  void PendingLoadCausesNoEviction()
   {
     NamedServer loading = Server("s", {"a"});
     loading.order_open = true;
@@ -299,7 +299,7 @@
     CPPUNIT_ASSERT(PlanReplicas(Input({loading, in_use}, {Model("a"), b, d, wanted})).empty());
   }
 
-  void ManyThatWaitGoBeforeOne()
+  void PrefersModelWithMoreWaitingRequests()
   {
     NamedModel one = Model("a", 1);
     one.priority = 0;
@@ -312,13 +312,13 @@
                          PlanReplicas(Input({Server("s", {})}, {one, many})).at(0).model);
   }
 
-  void OneOrderAServer()
+  void OneOrderPerServer()
   {
     const auto orders = PlanReplicas(Input({Server("s", {})}, {Model("a", 1), Model("b", 1)}));
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), orders.size());
   }
 
-  void LoadsFromTheWeightStoreAreBounded()
+  void LimitsLoadsFromWeightStore()
   {
     auto input = Input({Server("s", {}), Server("t", {})}, {Model("x", 1), Model("y", 1)});
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), PlanReplicas(input).size());
@@ -326,7 +326,7 @@
     CPPUNIT_ASSERT(PlanReplicas(input).empty());
   }
 
-  void ABusyModelGetsASpareReplicaFromDiskOnly()
+  void LoadsSpareReplicaOnlyFromDisk()
   {
     auto input = Input({Server("s", {"a"}), Server("t", {})}, {Model("a", 0, 5)});
     CPPUNIT_ASSERT_EQUAL(std::string("t"), PlanReplicas(input).at(0).instance);
@@ -338,7 +338,7 @@
   /// day and the only server with its weights was repeatedly free for orders. An order evicted only
   /// one model. On a server of 200 GB with models of 65,100, 65,500, 34,300 and 34,300 MB
   /// ("free_mb=272 needed_mb=72700") no single eviction frees enough memory.
-  void SeveralModelsMakeRoomForALargeOne()
+  void EvictsSeveralModelsForLargeOne()
   {
     NamedServer server = Server("s", {"a", "b", "c", "d"});
     server.memory_mb = 199472;
@@ -362,7 +362,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), orders[0].also_unload[0]);
   }
 
-  void UnusableServersGetNothing()
+  void UnusableServersGetNoOrders()
   {
     NamedServer server = Server("s", {});
     server.usable = false;
--- a/Source/UnitTests/Decisions/WaitForLoadTest.cpp
+++ b/Source/UnitTests/Decisions/WaitForLoadTest.cpp
@@ -23,42 +23,42 @@
 class WaitForLoadTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(WaitForLoadTest);
-  CPPUNIT_TEST(WhatOutlastsTheCallerIsRefusedAtOnce);
-  CPPUNIT_TEST(WhatMayComeInTimeWaits);
-  CPPUNIT_TEST(WhatIsNotKnownWaits);
+  CPPUNIT_TEST(RefusesLoadsLongerThanCallerWaits);
+  CPPUNIT_TEST(WaitsForLoadsInTime);
+  CPPUNIT_TEST(WaitsIfCopiesAreUnknown);
   CPPUNIT_TEST_SUITE_END();
 
-  void WhatOutlastsTheCallerIsRefusedAtOnce()
+  void RefusesLoadsLongerThanCallerWaits()
   {
     WaitForLoadInput input = InStoreOnly();
-    CPPUNIT_ASSERT(RefusedUntil(input) == Milliseconds(13200));
+    CPPUNIT_ASSERT(RetryAfterIfRefused(input) == Milliseconds(13200));
     input.patience = Milliseconds(60000);
-    CPPUNIT_ASSERT(!RefusedUntil(input));
+    CPPUNIT_ASSERT(!RetryAfterIfRefused(input));
     input.until_deadline = Milliseconds(3000);
-    CPPUNIT_ASSERT(RefusedUntil(input) == Milliseconds(13200));
+    CPPUNIT_ASSERT(RetryAfterIfRefused(input) == Milliseconds(13200));
   }
 
-  void WhatMayComeInTimeWaits()
+  void WaitsForLoadsInTime()
   {
     WaitForLoadInput input = InStoreOnly();
     input.from_store = Milliseconds(6000);
-    CPPUNIT_ASSERT(!RefusedUntil(input));
+    CPPUNIT_ASSERT(!RetryAfterIfRefused(input));
     input = InStoreOnly();
-    input.is_coming = true;
-    CPPUNIT_ASSERT(!RefusedUntil(input));
+    input.load_in_progress = true;
+    CPPUNIT_ASSERT(!RetryAfterIfRefused(input));
     input = InStoreOnly();
     for (const WeightSource near : {WeightSource::Disk, WeightSource::HostMemory})
     {
       input.nearest = near;
-      CPPUNIT_ASSERT(!RefusedUntil(input));
+      CPPUNIT_ASSERT(!RetryAfterIfRefused(input));
     }
   }
 
-  void WhatIsNotKnownWaits()
+  void WaitsIfCopiesAreUnknown()
   {
     WaitForLoadInput input = InStoreOnly();
     input.nearest.reset();
-    CPPUNIT_ASSERT(!RefusedUntil(input));
+    CPPUNIT_ASSERT(!RetryAfterIfRefused(input));
   }
 };
 
--- a/Source/UnitTests/RateLimits/PermitReplayTest.cpp
+++ b/Source/UnitTests/RateLimits/PermitReplayTest.cpp
@@ -20,7 +20,7 @@
 
 #include "Common/Random.h"
 #include "RateLimits/LocalPermits.h"
-#include "RateLimits/PermitKeeper.h"
+#include "RateLimits/PermitAllocator.h"
 
 namespace
 {
@@ -35,10 +35,10 @@
 constexpr Milliseconds PATIENCE{1400};
 constexpr Milliseconds ASK_EVERY{150};
 constexpr Milliseconds HEARTBEAT{250};
-constexpr Milliseconds HOLDER_MISSED_FOR{4500};
-constexpr std::uint64_t LOST_IN_100 = 2;
-constexpr std::uint64_t DOUBLED_IN_100 = 2;
-constexpr std::uint64_t LATEST_MS = 8;
+constexpr Milliseconds HOLDER_LOST_FOR{4500};
+constexpr std::uint64_t LOST_PERCENT = 2;
+constexpr std::uint64_t DUPLICATED_PERCENT = 2;
+constexpr std::uint64_t MAX_DELAY_MS = 8;
 
 struct Load
 {
@@ -78,23 +78,24 @@
 }
 
 /// Simulated time, messages and faults; the same for all ways to divide the limit.
-class World
+class Simulation
 {
 public:
-  World(const Load& load, std::uint64_t seed) : load(load), random(seed), m_suspended(load.daemons)
+  Simulation(const Load& load, std::uint64_t seed)
+      : load(load), random(seed), m_suspended(load.daemons)
   {
   }
 
   void Send(std::size_t to, std::function<void()> message)
   {
-    if (Draw(100) < LOST_IN_100)
+    if (Draw(100) < LOST_PERCENT)
       return;
     Post(to, message);
-    if (Draw(100) < DOUBLED_IN_100)
+    if (Draw(100) < DUPLICATED_PERCENT)
       Post(to, message);
   }
   std::uint64_t Draw(std::uint64_t below) { return random() % below; }
-  bool Runs(std::size_t daemon) const { return now >= m_suspended[daemon]; }
+  bool IsRunning(std::size_t daemon) const { return now >= m_suspended[daemon]; }
   void Suspend(std::size_t daemon, Milliseconds span) { m_suspended[daemon] = now + span; }
 
   /// Delivers due messages. Messages to a suspended daemon wait until it resumes.
@@ -104,7 +105,7 @@
     {
       const auto [to, message] = std::move(m_messages.begin()->second);
       m_messages.erase(m_messages.begin());
-      if (Runs(to))
+      if (IsRunning(to))
         message();
       else
         m_messages.emplace(m_suspended[to], std::pair(to, message));
@@ -120,7 +121,8 @@
 private:
   void Post(std::size_t to, std::function<void()> message)
   {
-    m_messages.emplace(now + Milliseconds(1 + Draw(LATEST_MS)), std::pair(to, std::move(message)));
+    m_messages.emplace(now + Milliseconds(1 + Draw(MAX_DELAY_MS)),
+                       std::pair(to, std::move(message)));
   }
 
   std::multimap<TimePoint, std::pair<std::size_t, std::function<void()>>> m_messages;
@@ -143,7 +145,8 @@
 class LeasedPermits
 {
 public:
-  explicit LeasedPermits(World& world) : m_world(world), m_daemons(world.load.daemons)
+  explicit LeasedPermits(Simulation& simulation)
+      : m_simulation(simulation), m_daemons(simulation.load.daemons)
   {
     for (Daemon& daemon : m_daemons)
       daemon.permits.SetDaemons(static_cast<int>(m_daemons.size()));
@@ -152,36 +155,36 @@
 
   void Tick()
   {
-    if (m_keeper_back_at && m_world.now >= *m_keeper_back_at)
+    if (m_holder_back_at && m_simulation.now >= *m_holder_back_at)
     {
-      m_keeper_back_at.reset();
+      m_holder_back_at.reset();
       m_holder = (m_holder + 1) % m_daemons.size();
       BeginTenure();
     }
-    if (m_keeper_back_at || !m_world.Runs(m_holder))
+    if (m_holder_back_at || !m_simulation.IsRunning(m_holder))
       return;
-    if (m_world.now >= m_next_heartbeat)
+    if (m_simulation.now >= m_next_heartbeat)
     {
-      m_next_heartbeat = m_world.now + HEARTBEAT;
+      m_next_heartbeat = m_simulation.now + HEARTBEAT;
       for (std::size_t i = 0; i < m_daemons.size(); ++i)
-        m_world.Send(i, [this, i] {
-          m_daemons[i].permits.NoteHolderHeard(m_world.now);
+        m_simulation.Send(i, [this, i] {
+          m_daemons[i].permits.NoteHolderContact(m_simulation.now);
         });
     }
-    for (const Grant& grant : m_keeper.HandOut(m_world.now))
+    for (const Grant& grant : m_allocator.GrantPermits(m_simulation.now))
       SendGrant(grant);
   }
 
   bool MaySend(std::size_t index, std::uint32_t waiting)
   {
     Daemon& daemon = m_daemons[index];
-    const bool news = waiting != daemon.told;
-    if ((news || m_world.now >= daemon.next_ask) && (waiting > 0 || daemon.told > 0))
+    const bool changed = waiting != daemon.reported;
+    if ((changed || m_simulation.now >= daemon.next_ask) && (waiting > 0 || daemon.reported > 0))
       Ask(index, waiting);
-    return waiting > 0 && daemon.permits.Take(SERVER, Rate(), m_world.now);
+    return waiting > 0 && daemon.permits.Take(SERVER, Rate(), m_simulation.now);
   }
 
-  void LoseHolder() { m_keeper_back_at = m_world.now + HOLDER_MISSED_FOR; }
+  void LoseHolder() { m_holder_back_at = m_simulation.now + HOLDER_LOST_FOR; }
   void Restart(std::size_t index)
   {
     m_daemons[index] = {};
@@ -194,7 +197,7 @@
   {
     LocalPermits permits;
     int run = 0;
-    std::uint32_t told = 0;
+    std::uint32_t reported = 0;
     TimePoint next_ask;
     std::uint64_t sequence = 0;
     std::map<std::uint64_t, TimePoint> asked_at;
@@ -209,7 +212,7 @@
 
   RequestRate Rate() const
   {
-    return RequestRate(static_cast<std::int64_t>(m_world.load.rate * THOUSANDTHS));
+    return RequestRate(static_cast<std::int64_t>(m_simulation.load.rate * THOUSANDTHS));
   }
 
   void BeginTenure()
@@ -217,27 +220,27 @@
     ++m_tenure;
     m_number = 0;
     m_peers.clear();
-    m_keeper.Begin();
-    const PermitKeeper::KnownLimit limit{SERVER, Rate(), Common::DataCentreId("a")};
-    m_keeper.SetLimits(std::span(&limit, 1), m_world.now);
+    m_allocator.Begin();
+    const PermitAllocator::KnownLimit limit{SERVER, Rate(), Common::DataCentreId("a")};
+    m_allocator.SetLimits(std::span(&limit, 1), m_simulation.now);
   }
 
   void Ask(std::size_t index, std::uint32_t waiting)
   {
     Daemon& daemon = m_daemons[index];
-    daemon.told = waiting;
-    daemon.next_ask = m_world.now + ASK_EVERY;
-    daemon.asked_at[++daemon.sequence] = m_world.now;
-    PermitWant want{SERVER, waiting, 5, PATIENCE.count()};
-    want.unused = daemon.permits.TakeUnused(SERVER, m_world.now);
-    m_world.Send(m_holder, [this, index, want, run = daemon.run, sequence = daemon.sequence,
-                            holder = m_holder] {
+    daemon.reported = waiting;
+    daemon.next_ask = m_simulation.now + ASK_EVERY;
+    daemon.asked_at[++daemon.sequence] = m_simulation.now;
+    PermitDemand demand{SERVER, waiting, 5, PATIENCE.count()};
+    demand.unused = daemon.permits.TakeUnused(SERVER, m_simulation.now);
+    m_simulation.Send(m_holder, [this, index, demand, run = daemon.run, sequence = daemon.sequence,
+                                 holder = m_holder] {
       Peer& peer = m_peers[index];
-      if (m_keeper_back_at || holder != m_holder || (peer.run == run && sequence <= peer.sequence))
+      if (m_holder_back_at || holder != m_holder || (peer.run == run && sequence <= peer.sequence))
         return;
-      peer = {run, sequence, m_world.now};
-      m_keeper.TakeWants({VmId(std::to_string(index)), Common::DataCentreId("a")},
-                         std::span(&want, 1), m_world.now);
+      peer = {run, sequence, m_simulation.now};
+      m_allocator.UpdateDemand({VmId(std::to_string(index)), Common::DataCentreId("a")},
+                               std::span(&demand, 1), m_simulation.now);
     });
   }
 
@@ -245,10 +248,10 @@
   {
     const std::size_t index = std::stoul(grant.vm.Get());
     const Peer peer = m_peers[index];
-    const auto held = m_world.now - peer.heard_at;
-    const auto standbys = m_keeper.StandbysOf(grant.vm);
+    const auto held = m_simulation.now - peer.heard_at;
+    const auto standbys = m_allocator.StandbysOf(grant.vm);
     const std::pair number(m_tenure, ++m_number);
-    m_world.Send(index, [this, index, peer, held, standbys, number, count = grant.count] {
+    m_simulation.Send(index, [this, index, peer, held, standbys, number, count = grant.count] {
       Daemon& daemon = m_daemons[index];
       if (daemon.run != peer.run || number <= daemon.last_reply)
         return;
@@ -259,32 +262,35 @@
     });
   }
 
-  World& m_world;
+  Simulation& m_simulation;
   std::vector<Daemon> m_daemons;
-  PermitKeeper m_keeper;
+  PermitAllocator m_allocator;
   std::map<std::size_t, Peer> m_peers;
   std::size_t m_holder = 0;
   int m_tenure = 0;
   int m_runs = 0;
   std::uint64_t m_number = 0;
   TimePoint m_next_heartbeat;
-  std::optional<TimePoint> m_keeper_back_at;
+  std::optional<TimePoint> m_holder_back_at;
 };
 
 /// Each daemon has a token bucket with an equal share of the rate and a burst of one request.
 class EqualShares
 {
 public:
-  explicit EqualShares(World& world) : m_world(world), m_buckets(world.load.daemons) {}
+  explicit EqualShares(Simulation& simulation)
+      : m_simulation(simulation), m_buckets(simulation.load.daemons)
+  {
+  }
 
   void Tick() {}
   bool MaySend(std::size_t index, std::uint32_t waiting)
   {
     Bucket& bucket = m_buckets[index];
-    const double part = m_world.load.rate / static_cast<double>(m_buckets.size());
-    const std::chrono::duration<double> since = m_world.now - bucket.filled_at;
+    const double part = m_simulation.load.rate / static_cast<double>(m_buckets.size());
+    const std::chrono::duration<double> since = m_simulation.now - bucket.filled_at;
     bucket.level = std::min(bucket.level + part * since.count(), 1.0);
-    bucket.filled_at = m_world.now;
+    bucket.filled_at = m_simulation.now;
     if (waiting == 0 || bucket.level < 1)
       return false;
     bucket.level -= 1;
@@ -299,31 +305,31 @@
     double level = 1;
     TimePoint filled_at;
   };
-  World& m_world;
+  Simulation& m_simulation;
   std::vector<Bucket> m_buckets;
 };
 
 /// One daemon sends for all at the full rate: the first live one in the view of each daemon. If a
 /// data centre is cut off, each side has such a sender.
-class OneSender
+class SingleSender
 {
 public:
-  explicit OneSender(World& world) : m_world(world) {}
+  explicit SingleSender(Simulation& simulation) : m_simulation(simulation) {}
 
   void Tick() {}
   bool MaySend(std::size_t index, std::uint32_t waiting)
   {
-    const bool is_cut = m_world.now < m_cut_until;
+    const bool is_cut = m_simulation.now < m_cut_until;
     Bucket& bucket = m_sides[is_cut ? index % 2 : 0];
-    const std::chrono::duration<double> since = m_world.now - bucket.filled_at;
-    bucket.level = std::min(bucket.level + m_world.load.rate * since.count(), 1.25);
-    bucket.filled_at = m_world.now;
+    const std::chrono::duration<double> since = m_simulation.now - bucket.filled_at;
+    bucket.level = std::min(bucket.level + m_simulation.load.rate * since.count(), 1.25);
+    bucket.filled_at = m_simulation.now;
     if (waiting == 0 || bucket.level < 1)
       return false;
     bucket.level -= 1;
     return true;
   }
-  void LoseHolder() { m_cut_until = m_world.now + HOLDER_MISSED_FOR; }
+  void LoseHolder() { m_cut_until = m_simulation.now + HOLDER_LOST_FOR; }
   void Restart(std::size_t) {}
 
 private:
@@ -332,42 +338,43 @@
     double level = 0;
     TimePoint filled_at;
   };
-  World& m_world;
+  Simulation& m_simulation;
   Bucket m_sides[2];
   TimePoint m_cut_until;
 };
 
 template <Division Way>
-Outcome Play(const Load& load, std::uint64_t seed)
+Outcome Simulate(const Load& load, std::uint64_t seed)
 {
-  World world(load, seed);
-  Way way(world);
+  Simulation simulation(load, seed);
+  Way way(simulation);
   std::vector<std::deque<TimePoint>> waiting(load.daemons);
   std::set<std::size_t> active; ///< Daemons with waiting requests, now or one step before.
   double due = 0;
-  auto next_fault = world.begin + Milliseconds(5000);
-  for (const auto end = world.begin + load.length; world.now < end; world.now += STEP)
+  auto next_fault = simulation.begin + Milliseconds(5000);
+  for (const auto end = simulation.begin + load.length; simulation.now < end;
+       simulation.now += STEP)
   {
-    world.Deliver();
+    simulation.Deliver();
     way.Tick();
     for (due += load.demand * std::chrono::duration<double>(STEP).count(); due >= 1; due -= 1)
     {
-      ++world.outcome.asked;
-      const std::size_t daemon = world.Draw(load.daemons);
-      waiting[daemon].push_back(world.now);
+      ++simulation.outcome.asked;
+      const std::size_t daemon = simulation.Draw(load.daemons);
+      waiting[daemon].push_back(simulation.now);
       active.insert(daemon);
     }
-    if (load.faults && world.now >= next_fault)
+    if (load.faults && simulation.now >= next_fault)
     {
-      next_fault = world.now + Milliseconds(2000 + world.Draw(6000));
-      const std::size_t victim = world.Draw(load.daemons);
-      switch (world.Draw(3))
+      next_fault = simulation.now + Milliseconds(2000 + simulation.Draw(6000));
+      const std::size_t victim = simulation.Draw(load.daemons);
+      switch (simulation.Draw(3))
       {
       case 0:
         way.LoseHolder();
         break;
       case 1:
-        world.Suspend(victim, Milliseconds(200 + world.Draw(6000)));
+        simulation.Suspend(victim, Milliseconds(200 + simulation.Draw(6000)));
         break;
       default:
         way.Restart(victim);
@@ -376,29 +383,29 @@
     for (auto next = active.begin(); next != active.end();)
     {
       const std::size_t daemon = *next++;
-      if (!world.Runs(daemon))
+      if (!simulation.IsRunning(daemon))
         continue;
       auto& queue = waiting[daemon];
       if (queue.empty())
         active.erase(daemon);
-      while (!queue.empty() && world.now - queue.front() > PATIENCE)
+      while (!queue.empty() && simulation.now - queue.front() > PATIENCE)
         queue.pop_front();
       if (!way.MaySend(daemon, static_cast<std::uint32_t>(queue.size())))
         continue;
       queue.pop_front();
-      world.outcome.arrivals.push_back(world.now);
+      simulation.outcome.arrivals.push_back(simulation.now);
     }
   }
-  return world.outcome;
+  return simulation.outcome;
 }
 
 class PermitReplayTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PermitReplayTest);
-  CPPUNIT_TEST(UnderDemandAServerGetsWhatItNames);
-  CPPUNIT_TEST(NoWindowExceedsTheBoundWhateverBefallsTheDaemons);
-  CPPUNIT_TEST(SharesOfManyDaemonsExceedTheBound);
-  CPPUNIT_TEST(TwoSidesWithASenderEachExceedTheBound);
+  CPPUNIT_TEST(ServerReceivesItsLimitUnderLoad);
+  CPPUNIT_TEST(WindowsStayWithinBoundUnderFaults);
+  CPPUNIT_TEST(EqualSharesOfManyDaemonsExceedBound);
+  CPPUNIT_TEST(SendersOnBothSidesOfCutExceedBound);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr int SEEDS = 3;
@@ -409,20 +416,20 @@
     Outcome worst;
     for (int seed = 1; seed <= SEEDS; ++seed)
     {
-      const Outcome outcome = Play<Way>(load, static_cast<std::uint64_t>(seed));
+      const Outcome outcome = Simulate<Way>(load, static_cast<std::uint64_t>(seed));
       if (outcome.WorstWindow() >= worst.WorstWindow())
         worst = outcome;
     }
     return worst;
   }
 
-  void UnderDemandAServerGetsWhatItNames()
+  void ServerReceivesItsLimitUnderLoad()
   {
     for (const std::size_t daemons : {6, 77, 330})
       for (const double rate : {0.5, 5.0})
       {
         const Load load{daemons, rate, 8 * rate, Milliseconds(40000)};
-        const Outcome outcome = Play<LeasedPermits>(load, 1);
+        const Outcome outcome = Simulate<LeasedPermits>(load, 1);
         const std::string what = std::to_string(daemons) + " daemons, " + std::to_string(rate) +
                                  ": " + std::to_string(outcome.PerSecond(load));
         CPPUNIT_ASSERT_MESSAGE(what, outcome.PerSecond(load) >= 0.85 * rate);
@@ -430,7 +437,7 @@
       }
   }
 
-  void NoWindowExceedsTheBoundWhateverBefallsTheDaemons()
+  void WindowsStayWithinBoundUnderFaults()
   {
     for (const std::size_t daemons : {6, 77})
       for (const double rate : {0.0, 0.5, 1.1, 5.0, 11.0})
@@ -443,17 +450,17 @@
       }
   }
 
-  void SharesOfManyDaemonsExceedTheBound()
+  void EqualSharesOfManyDaemonsExceedBound()
   {
     const Load load{330, 0.5, 20};
     CPPUNIT_ASSERT(Worst<EqualShares>(load).WorstWindow() > Allowed(load.rate));
     CPPUNIT_ASSERT(Worst<LeasedPermits>(load).WorstWindow() <= Allowed(load.rate));
   }
 
-  void TwoSidesWithASenderEachExceedTheBound()
+  void SendersOnBothSidesOfCutExceedBound()
   {
     const Load load{77, 5, 40, Milliseconds(60000), true};
-    CPPUNIT_ASSERT(Worst<OneSender>(load).WorstWindow() > Allowed(load.rate));
+    CPPUNIT_ASSERT(Worst<SingleSender>(load).WorstWindow() > Allowed(load.rate));
     CPPUNIT_ASSERT(Worst<LeasedPermits>(load).WorstWindow() <= Allowed(load.rate));
   }
 };
--- a/Source/UnitTests/RateLimits/PermitsTest.cpp
+++ b/Source/UnitTests/RateLimits/PermitsTest.cpp
@@ -6,7 +6,7 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "RateLimits/LocalPermits.h"
-#include "RateLimits/PermitKeeper.h"
+#include "RateLimits/PermitAllocator.h"
 
 namespace
 {
@@ -26,53 +26,54 @@
 class PermitsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(PermitsTest);
-  CPPUNIT_TEST(PermitsComeAtTheRateOfTheServer);
-  CPPUNIT_TEST(TheMostUrgentComeFirst);
-  CPPUNIT_TEST(AServerThatTakesNothingIsProbed);
-  CPPUNIT_TEST(OneRequestASecondProbesWhereNobodyWaits);
-  CPPUNIT_TEST(WhatIsWantedIsForgottenUnlessItIsRepeated);
-  CPPUNIT_TEST(UnusedPermitsGoToOthers);
-  CPPUNIT_TEST(AKeeperThatDidNotRunGrantsNoMoreForIt);
-  CPPUNIT_TEST(APermitIsVoidAfterItsTime);
-  CPPUNIT_TEST(TheStandbyGoesOnWhileNoHolderIsHeard);
-  CPPUNIT_TEST(WithoutAHolderAllTogetherStayWithinTheirPart);
-  CPPUNIT_TEST(AStandbyOfTheServersDataCentreComesFirst);
+  CPPUNIT_TEST(GrantsAtServerRate);
+  CPPUNIT_TEST(GrantsMostUrgentFirst);
+  CPPUNIT_TEST(ProbesServerWithZeroLimit);
+  CPPUNIT_TEST(ProbesOncePerSecondIfIdle);
+  CPPUNIT_TEST(DemandExpiresUnlessRepeated);
+  CPPUNIT_TEST(UnusedPermitsAreReassigned);
+  CPPUNIT_TEST(SuspensionAddsNoPermits);
+  CPPUNIT_TEST(PermitExpires);
+  CPPUNIT_TEST(StandbySendsWithoutHolderContact);
+  CPPUNIT_TEST(DaemonsWithoutHolderStayWithinShare);
+  CPPUNIT_TEST(PrefersStandbyInServerDataCentre);
   CPPUNIT_TEST_SUITE_END();
 
   TimePoint m_now = TimePoint(std::chrono::hours(1));
 
-  void Limit(PermitKeeper& keeper, double per_second)
+  void Limit(PermitAllocator& allocator, double per_second)
   {
-    const PermitKeeper::KnownLimit limit{SERVER, Rate(per_second), DataCentreId("a")};
-    keeper.SetLimits(std::span(&limit, 1), m_now);
+    const PermitAllocator::KnownLimit limit{SERVER, Rate(per_second), DataCentreId("a")};
+    allocator.SetLimits(std::span(&limit, 1), m_now);
   }
-  void Want(PermitKeeper& keeper, const char* vm, PermitWant want, const char* data_centre = "b")
+  void SendDemand(PermitAllocator& allocator, const char* vm, PermitDemand demand,
+                  const char* data_centre = "b")
   {
-    want.server = SERVER;
-    keeper.TakeWants({VmId(vm), DataCentreId(data_centre)}, std::span(&want, 1), m_now);
+    demand.server = SERVER;
+    allocator.UpdateDemand({VmId(vm), DataCentreId(data_centre)}, std::span(&demand, 1), m_now);
   }
-  static PermitWant Waiting(std::uint32_t count, int priority = 5)
+  static PermitDemand Waiting(std::uint32_t count, int priority = 5)
   {
-    PermitWant want;
-    want.count = count;
-    want.priority = priority;
-    want.gives_up_ms = 1000;
-    return want;
+    PermitDemand demand;
+    demand.count = count;
+    demand.priority = priority;
+    demand.expires_in_ms = 1000;
+    return demand;
   }
 
-  void PermitsComeAtTheRateOfTheServer()
+  void GrantsAtServerRate()
   {
     for (const double rate : {0.5, 1.1, 20.0})
     {
-      PermitKeeper keeper;
-      keeper.Begin();
-      Limit(keeper, rate);
+      PermitAllocator allocator;
+      allocator.Begin();
+      Limit(allocator, rate);
       int granted = 0;
       for (int ms = 0; ms < 20000; ms += 10)
       {
         m_now += Milliseconds(10);
-        Want(keeper, "v", Waiting(50));
-        for (const Grant& grant : keeper.HandOut(m_now))
+        SendDemand(allocator, "v", Waiting(50));
+        for (const Grant& grant : allocator.GrantPermits(m_now))
           granted += static_cast<int>(grant.count);
       }
       CPPUNIT_ASSERT(granted <= 20 * rate + 1);
@@ -80,103 +81,103 @@
     }
   }
 
-  void TheMostUrgentComeFirst()
+  void GrantsMostUrgentFirst()
   {
-    PermitKeeper keeper;
-    Limit(keeper, 1);
+    PermitAllocator allocator;
+    Limit(allocator, 1);
     m_now += Milliseconds(1000);
-    Want(keeper, "late", Waiting(3, 7));
-    Want(keeper, "urgent", Waiting(1, 0));
-    CPPUNIT_ASSERT_EQUAL(0U, keeper.Ahead(VmId("urgent"), SERVER, m_now));
-    CPPUNIT_ASSERT_EQUAL(1U, keeper.Ahead(VmId("late"), SERVER, m_now));
-    auto grants = keeper.HandOut(m_now);
+    SendDemand(allocator, "late", Waiting(3, 7));
+    SendDemand(allocator, "urgent", Waiting(1, 0));
+    CPPUNIT_ASSERT_EQUAL(0U, allocator.RequestsAhead(VmId("urgent"), SERVER, m_now));
+    CPPUNIT_ASSERT_EQUAL(1U, allocator.RequestsAhead(VmId("late"), SERVER, m_now));
+    auto grants = allocator.GrantPermits(m_now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), grants.size());
     CPPUNIT_ASSERT(grants[0].vm == VmId("urgent"));
-    CPPUNIT_ASSERT_EQUAL(3U, keeper.Waiting(SERVER, m_now));
+    CPPUNIT_ASSERT_EQUAL(3U, allocator.Waiting(SERVER, m_now));
     m_now += Milliseconds(1000);
-    Want(keeper, "late", Waiting(3, 7));
-    grants = keeper.HandOut(m_now);
+    SendDemand(allocator, "late", Waiting(3, 7));
+    grants = allocator.GrantPermits(m_now);
     CPPUNIT_ASSERT(grants[0].vm == VmId("late"));
   }
 
-  void AServerThatTakesNothingIsProbed()
+  void ProbesServerWithZeroLimit()
   {
-    PermitKeeper keeper;
-    Limit(keeper, 0);
+    PermitAllocator allocator;
+    Limit(allocator, 0);
     int granted = 0;
     for (int ms = 0; ms < 20000; ms += 100)
     {
       m_now += Milliseconds(100);
-      Want(keeper, "v", Waiting(5));
-      granted += static_cast<int>(keeper.HandOut(m_now).size());
+      SendDemand(allocator, "v", Waiting(5));
+      granted += static_cast<int>(allocator.GrantPermits(m_now).size());
     }
     // Five in any four seconds are allowed.
     CPPUNIT_ASSERT(granted >= 9 && granted <= 11);
   }
 
-  void OneRequestASecondProbesWhereNobodyWaits()
+  void ProbesOncePerSecondIfIdle()
   {
-    PermitKeeper keeper;
-    Limit(keeper, 10);
-    PermitWant probe;
+    PermitAllocator allocator;
+    Limit(allocator, 10);
+    PermitDemand probe;
     probe.may_probe = true;
     int granted = 0;
     for (int ms = 0; ms < 10000; ms += 100)
     {
       m_now += Milliseconds(100);
-      Want(keeper, "v", probe);
-      granted += static_cast<int>(keeper.HandOut(m_now).size());
+      SendDemand(allocator, "v", probe);
+      granted += static_cast<int>(allocator.GrantPermits(m_now).size());
     }
     CPPUNIT_ASSERT(granted >= 9 && granted <= 11);
   }
 
-  void WhatIsWantedIsForgottenUnlessItIsRepeated()
+  void DemandExpiresUnlessRepeated()
   {
-    PermitKeeper keeper;
-    Limit(keeper, 1);
-    Want(keeper, "gone", Waiting(5));
+    PermitAllocator allocator;
+    Limit(allocator, 1);
+    SendDemand(allocator, "gone", Waiting(5));
     m_now += Milliseconds(5000);
-    CPPUNIT_ASSERT(keeper.HandOut(m_now).empty());
-    CPPUNIT_ASSERT_EQUAL(0U, keeper.Waiting(SERVER, m_now));
-    CPPUNIT_ASSERT(!keeper.NextAt(m_now));
+    CPPUNIT_ASSERT(allocator.GrantPermits(m_now).empty());
+    CPPUNIT_ASSERT_EQUAL(0U, allocator.Waiting(SERVER, m_now));
+    CPPUNIT_ASSERT(!allocator.NextGrantAt(m_now));
   }
 
-  void UnusedPermitsGoToOthers()
+  void UnusedPermitsAreReassigned()
   {
-    PermitKeeper keeper;
-    Limit(keeper, 1);
+    PermitAllocator allocator;
+    Limit(allocator, 1);
     m_now += Milliseconds(1000);
-    Want(keeper, "first", Waiting(1));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), keeper.HandOut(m_now).size());
-    PermitWant back;
+    SendDemand(allocator, "first", Waiting(1));
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), allocator.GrantPermits(m_now).size());
+    PermitDemand back;
     back.unused = 1;
-    Want(keeper, "first", back);
-    Want(keeper, "second", Waiting(1));
-    const auto grants = keeper.HandOut(m_now);
+    SendDemand(allocator, "first", back);
+    SendDemand(allocator, "second", Waiting(1));
+    const auto grants = allocator.GrantPermits(m_now);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), grants.size());
     CPPUNIT_ASSERT(grants[0].vm == VmId("second"));
   }
 
-  void AKeeperThatDidNotRunGrantsNoMoreForIt()
+  void SuspensionAddsNoPermits()
   {
-    PermitKeeper keeper;
-    Limit(keeper, 2);
+    PermitAllocator allocator;
+    Limit(allocator, 2);
     m_now += Milliseconds(60000);
-    Want(keeper, "v", Waiting(50));
+    SendDemand(allocator, "v", Waiting(50));
     std::uint32_t granted = 0;
-    for (const Grant& grant : keeper.HandOut(m_now))
+    for (const Grant& grant : allocator.GrantPermits(m_now))
       granted += grant.count;
     CPPUNIT_ASSERT(granted <= 2);
   }
 
-  void APermitIsVoidAfterItsTime()
+  void PermitExpires()
   {
     LocalPermits permits;
-    permits.NoteHolderHeard(m_now);
+    permits.NoteHolderContact(m_now);
     permits.Add(SERVER, 1, m_now + PERMIT_VALID);
     CPPUNIT_ASSERT(permits.MaySend(SERVER, Rate(1), m_now));
     m_now += PERMIT_VALID;
-    permits.NoteHolderHeard(m_now);
+    permits.NoteHolderContact(m_now);
     CPPUNIT_ASSERT(!permits.Take(SERVER, Rate(1), m_now));
     CPPUNIT_ASSERT_EQUAL(1U, permits.TakeUnused(SERVER, m_now));
     CPPUNIT_ASSERT_EQUAL(0U, permits.TakeUnused(SERVER, m_now));
@@ -191,7 +192,7 @@
     return sent;
   }
 
-  void TheStandbyGoesOnWhileNoHolderIsHeard()
+  void StandbySendsWithoutHolderContact()
   {
     LocalPermits standby;
     LocalPermits other;
@@ -200,18 +201,18 @@
     for (LocalPermits* permits : {&standby, &other})
     {
       permits->SetDaemons(6);
-      permits->NoteHolderHeard(m_now);
+      permits->NoteHolderContact(m_now);
     }
     const auto lost_at = m_now;
     const int sent = SendFor(standby, 2, Milliseconds(5900));
     CPPUNIT_ASSERT(sent >= 3 && sent <= 4);
     m_now = lost_at;
     CPPUNIT_ASSERT_EQUAL(0, SendFor(other, 2, Milliseconds(5900)));
-    standby.NoteHolderHeard(m_now);
+    standby.NoteHolderContact(m_now);
     CPPUNIT_ASSERT_EQUAL(0, SendFor(standby, 2, Milliseconds(800)));
   }
 
-  void WithoutAHolderAllTogetherStayWithinTheirPart()
+  void DaemonsWithoutHolderStayWithinShare()
   {
     constexpr int DAEMONS = 330;
     const auto begin = m_now;
@@ -223,22 +224,22 @@
       m_now = begin;
       sent += SendFor(permits, 20, Milliseconds(60000));
     }
-    CPPUNIT_ASSERT(sent <= 20 * 60 * UNHEARD_SHARE + 1);
+    CPPUNIT_ASSERT(sent <= 20 * 60 * WITHOUT_HOLDER_SHARE + 1);
   }
 
-  void AStandbyOfTheServersDataCentreComesFirst()
+  void PrefersStandbyInServerDataCentre()
   {
-    PermitKeeper keeper;
-    Limit(keeper, 1);
-    Want(keeper, "far", Waiting(1), "b");
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), keeper.StandbysOf(VmId("far")).size());
-    Want(keeper, "near", Waiting(1), "a");
-    CPPUNIT_ASSERT(keeper.StandbysOf(VmId("far")).empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), keeper.StandbysOf(VmId("near")).size());
+    PermitAllocator allocator;
+    Limit(allocator, 1);
+    SendDemand(allocator, "far", Waiting(1), "b");
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), allocator.StandbysOf(VmId("far")).size());
+    SendDemand(allocator, "near", Waiting(1), "a");
+    CPPUNIT_ASSERT(allocator.StandbysOf(VmId("far")).empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), allocator.StandbysOf(VmId("near")).size());
     // It remains a standby when other daemons ask.
-    Want(keeper, "also-near", Waiting(1), "a");
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), keeper.StandbysOf(VmId("near")).size());
-    CPPUNIT_ASSERT(keeper.StandbysOf(VmId("also-near")).empty());
+    SendDemand(allocator, "also-near", Waiting(1), "a");
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), allocator.StandbysOf(VmId("near")).size());
+    CPPUNIT_ASSERT(allocator.StandbysOf(VmId("also-near")).empty());
   }
 };
 
--- a/Source/UnitTests/RateLimits/RequestRateTest.cpp
+++ b/Source/UnitTests/RateLimits/RequestRateTest.cpp
@@ -14,15 +14,15 @@
 class RequestRateTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RequestRateTest);
-  CPPUNIT_TEST(DecimalNumbersAreRead);
-  CPPUNIT_TEST(ValuesThatAreNoDecimalNumberAreUnreadable);
-  CPPUNIT_TEST(OfSeveralValuesTheLowestCounts);
+  CPPUNIT_TEST(ParsesDecimalNumbers);
+  CPPUNIT_TEST(RejectsOtherValues);
+  CPPUNIT_TEST(LowestOfSeveralValuesApplies);
   CPPUNIT_TEST(HugeRatesAreNoLimit);
   CPPUNIT_TEST_SUITE_END();
 
   static LimitReading Read(std::vector<std::string_view> values) { return ReadLimit(values); }
 
-  void DecimalNumbersAreRead()
+  void ParsesDecimalNumbers()
   {
     CPPUNIT_ASSERT(!Read({}).rate);
     CPPUNIT_ASSERT(Read({}).readable);
@@ -34,7 +34,7 @@
     CPPUNIT_ASSERT(Read({"0.0009"}).rate == RequestRate(0));
   }
 
-  void ValuesThatAreNoDecimalNumberAreUnreadable()
+  void RejectsOtherValues()
   {
     for (const char* const value :
          {"", " ", "-1", "+1", "1e3", "nan", "inf", "0x1", "1,1", "1.1.1", "1 2", "two", "."})
@@ -44,7 +44,7 @@
     }
   }
 
-  void OfSeveralValuesTheLowestCounts()
+  void LowestOfSeveralValuesApplies()
   {
     CPPUNIT_ASSERT(Read({"3", "1.5"}).rate == RequestRate(1500));
     CPPUNIT_ASSERT(Read({"3", "much"}).rate == RequestRate(3000));
