--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -21,17 +21,17 @@
 using Common::Milliseconds;
 
 /// How often waiting requests are retried: a server's backoff or ejection ends without an event.
-constexpr Milliseconds PUMP_INTERVAL{40};
+constexpr Milliseconds DISPATCH_INTERVAL{40};
 /// Accounts that get their own gauges, the largest first; the others are summed up.
 constexpr std::size_t MAX_ACCOUNT_SERIES = 20;
 /// How often requests that wait for units of their account's limit are retried.
-constexpr Milliseconds ALLOWANCE_INTERVAL{50};
+constexpr Milliseconds ALLOWANCE_RETRY_INTERVAL{50};
 /// Concurrent requests per slot of a server without a model engine: some queue at the server, so
 /// that a slot that becomes free is used immediately.
 constexpr int PLAIN_SLOTS_FACTOR = 2;
 
 /// The sort key of waiting requests; the lowest is served first.
-auto RankOf(const Relay& relay)
+auto SortKeyOf(const Relay& relay)
 {
   return std::tuple(relay.Priority(), relay.MatchedRoute().priority, relay.ArrivedAt());
 }
@@ -42,17 +42,18 @@
   Configure(std::move(settings));
   m_servers.OnChange([this] {
     m_limited.Refresh();
-    RefreshDraining();
-    WakeWaiting();
+    MarkDrainingServers();
+    ScheduleDispatch();
   });
   m_limited.OnChange([this] {
     OnLimitChange();
   });
-  m_ends.OnEnded([this](const InstanceId& instance, Common::TimePoint at, const auto& suspects) {
-    TakeEnd(instance, at, suspects);
-  });
-  m_ends.OnSettled([this] {
-    WakeWaiting();
+  m_crash_detector.OnEnded(
+      [this](const InstanceId& instance, Common::TimePoint at, const auto& suspects) {
+        OnServerCrashed(instance, at, suspects);
+      });
+  m_crash_detector.OnSettled([this] {
+    ScheduleDispatch();
   });
 }
 
@@ -75,10 +76,10 @@
                     {"routes", configuration->routes.size()}});
   m_configuration = std::move(configuration);
   m_limits = m_configuration->limits;
-  m_refused_configuration.clear();
+  m_configuration_error.clear();
   m_allowances.SetAccounts(m_configuration->accounts);
   m_configured_at = Common::Now();
-  WakeWaiting();
+  ScheduleDispatch();
 }
 
 void Dispatcher::Adopt(int fd)
@@ -93,7 +94,7 @@
 void Dispatcher::OnRequest(const std::shared_ptr<Http::ServerConnection>& connection,
                            Http::ReceivedRequest request)
 {
-  if (m_refusing)
+  if (m_refuses_requests)
   {
     connection->Respond(503, Http::ReasonPhrase(503), {{"Retry-After", "0.1"}}, "");
     return;
@@ -110,17 +111,17 @@
   });
   m_relays.erase(relay);
   if (any_waiting)
-    WakeWaiting();
+    ScheduleDispatch();
 }
 
 void Dispatcher::NoteArrival(const Relay& relay)
 {
-  m_budget.NoteRequest(relay.WantedPool(), Common::Now());
-  if (!relay.Wanted().model.Empty())
-    ++m_arrivals[{relay.WantedPool(), relay.Wanted()}];
+  m_budget.NoteRequest(relay.SelectedPool(), Common::Now());
+  if (!relay.RequestedArtifact().model.Empty())
+    ++m_arrivals[{relay.SelectedPool(), relay.RequestedArtifact()}];
 }
 
-std::int64_t Dispatcher::LimitFor(const Server& server) const
+std::int64_t Dispatcher::ConcurrencyLimitFor(const Server& server) const
 {
   const auto pool = m_configuration->pools.find(server.Entry().pool);
   const bool has_engine = pool != m_configuration->pools.end() && pool->second.engine;
@@ -130,8 +131,8 @@
 
 bool Dispatcher::IsEligible(const Relay& relay, const Server& server, Common::TimePoint now) const
 {
-  return server.Entry().pool == relay.WantedPool() && server.IsAvailable(now) &&
-         server.Holds(relay.Wanted(), now) && relay.MayGoTo(server.Entry().instance);
+  return server.Entry().pool == relay.SelectedPool() && server.IsAvailable(now) &&
+         server.Holds(relay.RequestedArtifact(), now) && relay.MaySendTo(server.Entry().instance);
 }
 
 ServerPtr Dispatcher::ChooseAmong(const std::vector<ServerPtr>& servers, const Relay& relay)
@@ -143,7 +144,7 @@
     candidate.local = server->Entry().data_centre == m_settings.data_centre;
     candidate.reported_running = server->Load();
     candidate.own_running = server->InFlight();
-    candidate.limit = LimitFor(*server);
+    candidate.limit = ConcurrencyLimitFor(*server);
     return candidate;
   });
   const std::string_view affinity =
@@ -164,7 +165,7 @@
     if (!IsEligible(relay, *server, now))
       continue;
     // During the slow start after a Retry-After, new requests do not overtake waiting ones.
-    if (server->GetBackoff().IsSlowStart() && IsOvertaking(relay))
+    if (server->GetBackoff().IsSlowStart() && WouldOvertake(relay))
       continue;
     const bool may_send = m_limited.MaySend(*server, now);
     if (server->IsDraining())
@@ -184,20 +185,21 @@
   if (ServerPtr chosen = ChooseAmong(unlimited, relay))
   {
     for (const ServerPtr& server : limited)
-      NotePassedBy(*server, now);
+      RecordBypass(*server, now);
     return chosen;
   }
   return ChooseAmong(draining, relay);
 }
 
-bool Dispatcher::IsOvertaking(const Relay& relay) const
+bool Dispatcher::WouldOvertake(const Relay& relay) const
 {
   if (relay.IsWaiting())
     return false;
   return std::ranges::any_of(m_relays, [&](const auto& entry) {
     const Relay& other = *entry.second;
-    return other.IsWaiting() && other.WantedPool() == relay.WantedPool() &&
-           other.Wanted() == relay.Wanted() && RankOf(other) < RankOf(relay);
+    return other.IsWaiting() && other.SelectedPool() == relay.SelectedPool() &&
+           other.RequestedArtifact() == relay.RequestedArtifact() &&
+           SortKeyOf(other) < SortKeyOf(relay);
   });
 }
 
@@ -210,11 +212,11 @@
   });
 }
 
-std::optional<EarlyRefusal> Dispatcher::WhyRefuse(const Relay& relay, Milliseconds patience,
-                                                  Milliseconds longest_wait)
+std::optional<EarlyRefusal> Dispatcher::CheckEarlyRefusal(const Relay& relay, Milliseconds patience,
+                                                          Milliseconds longest_wait)
 {
-  const ModelId& model = relay.Wanted().model;
-  const auto pool = m_configuration->pools.find(relay.WantedPool());
+  const ModelId& model = relay.RequestedArtifact().model;
+  const auto pool = m_configuration->pools.find(relay.SelectedPool());
   if (pool == m_configuration->pools.end())
     return std::nullopt;
   const ModelSpec* spec = pool->second.FindModel(model);
@@ -229,8 +231,8 @@
   std::optional<Decisions::WeightSource> nearest_unlimited;
   for (const auto& [instance, server] : m_servers.All())
   {
-    if (server->Entry().pool != relay.WantedPool() || !server->TakesWork(now) ||
-        !relay.MayGoTo(instance))
+    if (server->Entry().pool != relay.SelectedPool() || !server->TakesWork(now) ||
+        !relay.MaySendTo(instance))
       continue;
     const bool holds = model.Empty() || server->HoldsModel(model);
     const bool must_wait = server->Limit() || server->GetBackoff().IsNamed(now);
@@ -248,7 +250,7 @@
       nearest_unlimited = std::min(nearest_unlimited.value_or(source), source);
   }
   if (!slow_holders.empty())
-    return RefuseForWait(slow_holders, load.is_coming, nearest_unlimited, longest_wait);
+    return CheckExpectedWait(slow_holders, load.is_coming, nearest_unlimited, longest_wait);
   if (spec == nullptr)
     return std::nullopt;
   const auto until = Decisions::RefusedUntil(load);
@@ -256,17 +258,17 @@
                : std::nullopt;
 }
 
-void Dispatcher::ExpectReturn(const Relay& relay, Milliseconds span)
+void Dispatcher::ExpectRetry(const Relay& relay, Milliseconds span)
 {
-  ExpectedReturn& expected = m_returns[{relay.WantedPool(), relay.Wanted()}];
+  ExpectedRetry& expected = m_expected_retries[{relay.SelectedPool(), relay.RequestedArtifact()}];
   expected.at = std::max(expected.at, Common::Now() + span);
   expected.priority = std::min(expected.priority, relay.Priority());
   if (m_on_demand)
     m_on_demand();
 }
 
-void Dispatcher::TakeEnd(const InstanceId& instance, Common::TimePoint ended_at,
-                         const std::vector<EndDetector::Suspect>& suspects)
+void Dispatcher::OnServerCrashed(const InstanceId& instance, Common::TimePoint ended_at,
+                                 const std::vector<EndDetector::Suspect>& suspects)
 {
   const Crashes::ServerLife life(instance.Started().Get() == 0
                                      ? instance.Get()
@@ -275,12 +277,12 @@
   for (const EndDetector::Suspect& suspect : suspects)
     m_crashes.NoteEnding(suspect.request, life, m_settings.self, suspect.sent_at, ended_at,
                          suspect.survived_at);
-  EndBlocked();
+  EndBlockedRequests();
   if (m_on_demand)
     m_on_demand();
 }
 
-void Dispatcher::TakeCrashCases(const std::vector<Crashes::CaseLine>& cases)
+void Dispatcher::MergeCrashCases(const std::vector<Crashes::CaseLine>& cases)
 {
   const auto now = Common::Now();
   const std::uint64_t before = m_crashes.OwnRevision();
@@ -290,22 +292,22 @@
     if (const auto survived_at = m_successes.LastOf(line.request.quick, now))
       m_crashes.NoteEarlierSurvival(line.request, *survived_at, now);
   }
-  EndBlocked();
+  EndBlockedRequests();
   if (m_crashes.OwnRevision() != before && m_on_demand)
     m_on_demand();
 }
 
-void Dispatcher::EndBlocked()
+void Dispatcher::EndBlockedRequests()
 {
   const auto blocked = m_crashes.TakeNewlyBlocked();
   const auto now = Common::Now();
   for (const Crashes::Fingerprint& request : blocked)
-    if (const auto known = m_crashes.Find(request, now))
+    if (const auto crash_case = m_crashes.Find(request, now))
       Common::LogEvent(Common::LogLevel::Warning, "request-blocked",
                        {{"fingerprint", request.ToString()},
-                        {"for_ms", known->blocked_for_ms},
-                        {"blocks", known->blocks},
-                        {"ended", Crashes::Describe(known->endings)}});
+                        {"for_ms", crash_case->blocked_for_ms},
+                        {"blocks", crash_case->blocks},
+                        {"ended", Crashes::Describe(crash_case->endings)}});
   if (blocked.empty())
     return;
   const auto relays = m_relays;
@@ -313,24 +315,24 @@
     relay->EndIfBlocked();
 }
 
-Crashes::Judgement Dispatcher::JudgeCrashes(Relay& relay) const
+Crashes::Judgement Dispatcher::GetBlockStatus(Relay& relay) const
 {
   if (m_crashes.Empty() || !m_crashes.MayKnow(Crashes::QuickKeyOf(relay.Identity())))
     return {};
   return m_crashes.Judge(relay.Fingerprint(), Common::Now());
 }
 
-bool Dispatcher::IsHeldBack(Relay& relay) const
+bool Dispatcher::MustAwaitCrashCheck(Relay& relay) const
 {
-  return JudgeCrashes(relay).endings >= Crashes::CrashLedger::ENDINGS_TO_BLOCK - 1 &&
-         m_ends.IsInDoubt(relay.Fingerprint());
+  return GetBlockStatus(relay).endings >= Crashes::CrashLedger::ENDINGS_TO_BLOCK - 1 &&
+         m_crash_detector.IsInDoubt(relay.Fingerprint());
 }
 
 void Dispatcher::NoteBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
                             std::optional<Milliseconds> ran_for)
 {
   const auto survived_at = m_successes.LastOf(Crashes::QuickKeyOf(relay.Identity()), Common::Now());
-  m_ends.NoteBroken(server, {relay.Fingerprint(), sent_at, survived_at, ran_for});
+  m_crash_detector.NoteBroken(server, {relay.Fingerprint(), sent_at, survived_at, ran_for});
 }
 
 void Dispatcher::NoteSurvival(Relay& relay)
@@ -341,37 +343,37 @@
     return;
   const std::uint64_t before = m_crashes.OwnRevision();
   m_crashes.NoteSurvival(relay.Fingerprint(), Common::Now());
-  EndBlocked();
+  EndBlockedRequests();
   if (m_crashes.OwnRevision() != before && m_on_demand)
     m_on_demand();
 }
 
-void Dispatcher::WakeWaiting()
+void Dispatcher::ScheduleDispatch()
 {
-  if (std::exchange(m_wake_asked, true))
+  if (std::exchange(m_dispatch_scheduled, true))
     return;
-  m_pump_timer.Start(Milliseconds(0), [this] {
-    PumpWaiting();
+  m_dispatch_timer.Start(Milliseconds(0), [this] {
+    DispatchWaiting();
   });
 }
 
-std::vector<std::shared_ptr<Relay>> Dispatcher::WaitingInOrder() const
+std::vector<std::shared_ptr<Relay>> Dispatcher::WaitingRelays() const
 {
   std::vector<std::shared_ptr<Relay>> waiting;
   for (const auto& [key, relay] : m_relays)
     if (relay->IsWaiting())
       waiting.push_back(relay);
   std::ranges::sort(waiting, {}, [](const auto& relay) {
-    return RankOf(*relay);
+    return SortKeyOf(*relay);
   });
   return waiting;
 }
 
-void Dispatcher::PumpWaiting()
+void Dispatcher::DispatchWaiting()
 {
-  m_wake_asked = false;
-  ReviewBackoffs();
-  const auto waiting = WaitingInOrder();
+  m_dispatch_scheduled = false;
+  HandleNewBackoffs();
+  const auto waiting = WaitingRelays();
   for (const auto& relay : waiting)
     relay->TryDispatch();
   const bool still_waiting = std::ranges::any_of(waiting, [](const auto& relay) {
@@ -379,19 +381,19 @@
   });
   if (still_waiting && !m_limited.All().empty() && m_on_permit_demand)
     m_on_permit_demand();
-  if (still_waiting && !m_wake_asked)
-    m_pump_timer.Start(PUMP_INTERVAL, [this] {
-      PumpWaiting();
+  if (still_waiting && !m_dispatch_scheduled)
+    m_dispatch_timer.Start(DISPATCH_INTERVAL, [this] {
+      DispatchWaiting();
     });
 }
 
 void Dispatcher::TakeGrants(std::int64_t tenure, const std::vector<Accounts::GrantLine>& grants)
 {
   m_allowances.TakeGrants(tenure, grants, Common::Now());
-  TryAllowances();
+  RetryAllowances();
 }
 
-void Dispatcher::TryAllowances()
+void Dispatcher::RetryAllowances()
 {
   std::vector<std::shared_ptr<Relay>> waiting;
   for (const auto& [key, relay] : m_relays)
@@ -401,28 +403,28 @@
     return relay->ArrivedAt();
   });
   for (const auto& relay : waiting)
-    relay->TryAllowance();
+    relay->RetryAllowance();
 }
 
-void Dispatcher::RequestAllowance()
+void Dispatcher::ScheduleAllowanceRetry()
 {
   // Units may also become available without a grant of the lease holder.
   if (!m_allowance_timer.Running())
-    m_allowance_timer.Start(ALLOWANCE_INTERVAL, [this] {
-      TryAllowances();
+    m_allowance_timer.Start(ALLOWANCE_RETRY_INTERVAL, [this] {
+      RetryAllowances();
       const bool any = std::ranges::any_of(m_relays, [](const auto& entry) {
         return entry.second->AwaitsAllowance();
       });
       if (any)
-        RequestAllowance();
+        ScheduleAllowanceRetry();
     });
   if (m_on_demand)
     m_on_demand();
 }
 
-void Dispatcher::RequestDemand()
+void Dispatcher::ReportDemand()
 {
-  WakeWaiting();
+  ScheduleDispatch();
   if (m_on_demand)
     m_on_demand();
 }
@@ -439,18 +441,18 @@
   const auto now = Common::Now();
   for (const auto& [key, relay] : m_relays)
   {
-    if (!relay->IsWaiting() || relay->Wanted().model.Empty())
+    if (!relay->IsWaiting() || relay->RequestedArtifact().model.Empty())
       continue;
-    ArtifactDemand& entry = at(relay->WantedPool(), relay->Wanted());
+    ArtifactDemand& entry = at(relay->SelectedPool(), relay->RequestedArtifact());
     ++entry.waiting;
     entry.priority = std::min(entry.priority, relay->Priority());
     entry.oldest_wait = std::max(
         entry.oldest_wait, std::chrono::duration_cast<Milliseconds>(now - relay->ArrivedAt()));
   }
-  std::erase_if(m_returns, [&](const auto& entry) {
+  std::erase_if(m_expected_retries, [&](const auto& entry) {
     return entry.second.at <= now;
   });
-  for (const auto& [key, expected] : m_returns)
+  for (const auto& [key, expected] : m_expected_retries)
   {
     ArtifactDemand& entry = at(key.first, key.second);
     ++entry.waiting;
@@ -502,8 +504,7 @@
   };
   const auto& permits = m_limited.Permits().Totals();
   m_metrics.SetGauge("servers_limited", static_cast<double>(m_limited.All().size()));
-  m_metrics.SetGauge("server_limits_unreadable",
-                     static_cast<double>(m_limited.UnreadableAnswers()));
+  m_metrics.SetGauge("server_limits_unreadable", static_cast<double>(m_limited.UnreadableLimits()));
   m_metrics.SetGauge("permits_granted", static_cast<double>(permits.granted));
   m_metrics.SetGauge("permits_used", static_cast<double>(permits.used));
   m_metrics.SetGauge("permits_unused", static_cast<double>(permits.unused));
@@ -536,7 +537,7 @@
   if (m_configuration)
   {
     m_metrics.SetGauge("configuration_version", static_cast<double>(m_configuration->version));
-    m_metrics.SetGauge("configuration_refused", m_refused_configuration.empty() ? 0 : 1);
+    m_metrics.SetGauge("configuration_refused", m_configuration_error.empty() ? 0 : 1);
     m_metrics.SetGauge("accounts",
                        m_configuration->accounts
                            ? static_cast<double>(m_configuration->accounts->All().size())
@@ -565,16 +566,16 @@
 
 void Dispatcher::CloseIdleConnections()
 {
-  m_refusing = true;
+  m_refuses_requests = true;
   const auto connections = m_connections;
   for (const auto& [key, connection] : connections)
     connection->CloseIfIdle();
 }
 
-void Dispatcher::GiveUpAll()
+void Dispatcher::CancelAll()
 {
   const auto relays = m_relays;
   for (const auto& [key, relay] : relays)
-    relay->GiveUpForStop();
+    relay->CancelForShutdown();
 }
 } // namespace Gateway
--- a/Source/Core/Gateway/Dispatcher.h
+++ b/Source/Core/Gateway/Dispatcher.h
@@ -85,9 +85,9 @@
   void Configure(DispatcherSettings settings);
   void SetConfiguration(std::shared_ptr<const Configuration> configuration);
   /// Records that a newer configuration was invalid; the current one stays in force.
-  void NoteRefusedConfiguration(std::string reason) { m_refused_configuration = std::move(reason); }
+  void SetConfigurationError(std::string reason) { m_configuration_error = std::move(reason); }
   /// Why the newest configuration is not in force; empty if it is.
-  const std::string& RefusedConfiguration() const { return m_refused_configuration; }
+  const std::string& ConfigurationError() const { return m_configuration_error; }
   const std::shared_ptr<const Configuration>& CurrentConfiguration() const
   {
     return m_configuration;
@@ -106,21 +106,21 @@
   /// Servers that have announced that they drain, for the exchange with other daemons.
   DrainBook& Draining() { return m_draining; }
   /// Applies the draining servers that the lease holder of `tenure` has announced.
-  void TakeDrainNews(std::int64_t tenure, std::span<const RateLimits::ServerKey> servers);
+  void ApplyDrainUpdate(std::int64_t tenure, std::span<const RateLimits::ServerKey> servers);
   /// At the lease holder: applies the draining servers that another daemon has reported.
-  void TakeDrainReport(const Common::VmId& from, std::span<const RateLimits::ServerKey> servers);
+  void ApplyDrainReport(const Common::VmId& from, std::span<const RateLimits::ServerKey> servers);
   /// Called when permits for servers with a limit are needed, or when a limit or a draining server
   /// has to be reported to other daemons.
   void OnPermitDemand(std::function<void()> callback) { m_on_permit_demand = std::move(callback); }
   /// The permits that the waiting requests need, by server.
-  std::vector<RateLimits::PermitWant> PermitWants();
+  std::vector<RateLimits::PermitWant> PermitDemands();
   /// Applies the lease holder's answer: for each server, how many requests of other daemons are
   /// queued ahead. Permits may have arrived with it.
-  void TakePlaces(const std::vector<RateLimits::PlaceLine>& places);
+  void ApplyQueuePositions(const std::vector<RateLimits::PlaceLine>& places);
   /// Requests that crash the servers that run them.
   const Crashes::CrashLedger& CrashCases() const { return m_crashes; }
   /// Merges what other daemons have recorded about such requests.
-  void TakeCrashCases(const std::vector<Crashes::CaseLine>& cases);
+  void MergeCrashCases(const std::vector<Crashes::CaseLine>& cases);
   const DispatcherSettings& Settings() const { return m_settings; }
   DispatcherCounters& Counters() { return m_counters; }
 
@@ -140,7 +140,7 @@
   /// Closes connections that have no open request, and refuses new requests.
   void CloseIdleConnections();
   /// Ends all open requests with an error.
-  void GiveUpAll();
+  void CancelAll();
   std::size_t OpenRequests() const { return m_relays.size(); }
 
   void OnRequest(const std::shared_ptr<Http::ServerConnection>& connection,
@@ -156,70 +156,71 @@
   /// its model and the weights would load too late, or all servers that hold it have a limit with
   /// too long a queue or a Retry-After that lasts too long.
   /// No value if the request may wait, for `longest_wait` at most.
-  std::optional<EarlyRefusal> WhyRefuse(const Relay& relay, Common::Milliseconds patience,
-                                        Common::Milliseconds longest_wait);
+  std::optional<EarlyRefusal> CheckEarlyRefusal(const Relay& relay, Common::Milliseconds patience,
+                                                Common::Milliseconds longest_wait);
   /// Counts a refused request as a waiting one for `span`, after which its caller should retry, so
   /// that its model can be loaded meanwhile.
-  void ExpectReturn(const Relay& relay, Common::Milliseconds span);
+  void ExpectRetry(const Relay& relay, Common::Milliseconds span);
   void NoteArrival(const Relay& relay);
-  EndDetector& Ends() { return m_ends; }
+  EndDetector& GetCrashDetector() { return m_crash_detector; }
   /// Applies the signals in the headers of a response to a request, an order or a report.
-  void NoteSignals(const ServerPtr& server, const ServerSignals& signals,
-                   const SignalOrigin& origin);
+  void ApplySignals(const ServerPtr& server, const ServerSignals& signals,
+                    const SignalOrigin& origin);
   /// Applies the signals of an interim (1xx) response, of which only draining counts.
-  void NoteInterimSignals(const ServerPtr& server, const ServerSignals& signals,
-                          const SignalOrigin& origin);
+  void ApplyInterimSignals(const ServerPtr& server, const ServerSignals& signals,
+                           const SignalOrigin& origin);
   /// Counts a request that is being sent to the server.
   void CountSend(const Server& server, Common::TimePoint now);
   /// Records that the connection broke while the server had the request.
   void NoteBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
                   std::optional<Common::Milliseconds> ran_for);
   /// Whether the request is blocked because servers that ran it have crashed.
-  Crashes::Judgement JudgeCrashes(Relay& relay) const;
+  Crashes::Judgement GetBlockStatus(Relay& relay) const;
   /// True while the request is one crash short of being blocked, and it is not yet known whether a
   /// server that just broke its connection has crashed.
-  bool IsHeldBack(Relay& relay) const;
+  bool MustAwaitCrashCheck(Relay& relay) const;
   /// Records that a server has completed the request successfully.
   void NoteSurvival(Relay& relay);
   /// Schedules one pass over the waiting requests from the main loop; repeated calls are merged.
-  void WakeWaiting();
-  void RequestDemand();
+  void ScheduleDispatch();
+  void ReportDemand();
   /// Called when a request begins to wait for units of its account's limit.
-  void RequestAllowance();
+  void ScheduleAllowanceRetry();
   void Finished(Relay* relay);
 
 private:
-  void PumpWaiting();
-  void TakeEnd(const InstanceId& instance, Common::TimePoint ended_at,
-               const std::vector<EndDetector::Suspect>& suspects);
+  void DispatchWaiting();
+  void OnServerCrashed(const InstanceId& instance, Common::TimePoint ended_at,
+                       const std::vector<EndDetector::Suspect>& suspects);
   /// Ends the open requests that have become blocked.
-  void EndBlocked();
+  void EndBlockedRequests();
   /// Updates the gauges of requested and refused units by account.
   void RefreshAccountGauges();
   /// Retries the requests that wait for units of an account's limit, oldest first.
-  void TryAllowances();
-  std::int64_t LimitFor(const Server& server) const;
+  void RetryAllowances();
+  std::int64_t ConcurrencyLimitFor(const Server& server) const;
   /// True if the request may be sent to the server now, leaving the server's rate limit aside.
   bool IsEligible(const Relay& relay, const Server& server, Common::TimePoint now) const;
   /// `holders`: all servers that hold the model; each has a limit or a Retry-After in force.
   /// `nearest`: the nearest copy of the weights from which another server could load the model.
-  std::optional<EarlyRefusal> RefuseForWait(const std::vector<ServerPtr>& holders, bool is_coming,
-                                            std::optional<Decisions::WeightSource> nearest,
-                                            Common::Milliseconds longest_wait);
+  std::optional<EarlyRefusal> CheckExpectedWait(const std::vector<ServerPtr>& holders,
+                                                bool is_coming,
+                                                std::optional<Decisions::WeightSource> nearest,
+                                                Common::Milliseconds longest_wait);
   /// How long a request would wait for the server, by its Retry-After and its rate limit.
   Common::Milliseconds ExpectedWait(const Server& server, Common::TimePoint now) const;
   /// True if the request is new and a waiting request for the same artifact ranks before it.
-  bool IsOvertaking(const Relay& relay) const;
+  bool WouldOvertake(const Relay& relay) const;
   /// Records that a request went elsewhere although the server could have served it but for its
   /// limit.
-  void NotePassedBy(const Server& server, Common::TimePoint now);
+  void RecordBypass(const Server& server, Common::TimePoint now);
   /// Servers with a limit that this daemon could probe, by sending them a request that another
   /// server could take as well.
-  std::vector<RateLimits::ServerKey> ProbesToOffer() const;
+  std::vector<RateLimits::ServerKey> ProbeCandidates() const;
   /// The best of these servers; null if all are full.
   ServerPtr ChooseAmong(const std::vector<ServerPtr>& servers, const Relay& relay);
   /// The waiting requests in the order in which they are to be served.
-  std::vector<std::shared_ptr<Relay>> WaitingInOrder() const;
+  std::vector<std::shared_ptr<Relay>> WaitingRelays() const;
   /// A waiting request and the rate-limited server whose permit it waits for.
   struct AwaitedPermit
   {
@@ -229,24 +230,24 @@
   };
   std::vector<AwaitedPermit> AwaitedPermits(Common::TimePoint now) const;
   /// Refuses the waiting requests whose expected wait has become too long.
-  void ReviewWaiting();
+  void RecheckWaiting();
   void OnLimitChange();
   /// Applies a Retry-After that the server sent.
   void NoteRetryAfter(const ServerPtr& server, Common::Milliseconds span,
                       const SignalOrigin& origin);
   /// After new Retry-After headers: withdraws the requests that have not been sent to those servers
   /// yet, and checks the waiting requests again.
-  void ReviewBackoffs();
+  void HandleNewBackoffs();
   /// Called when a response to this VM announced that the server drains.
-  void NoteAnnouncedEnd(const ServerPtr& server, const SignalOrigin& origin);
+  void OnDrainAnnounced(const ServerPtr& server, const SignalOrigin& origin);
   /// Called when another VM has reported that a server drains.
-  void NoteReportedEnd(RateLimits::ServerKey key, std::string_view told_by);
+  void OnDrainReported(RateLimits::ServerKey key, std::string_view reported_by);
   /// Marks servers as draining that were added after their drain had been reported.
-  void RefreshDraining();
+  void MarkDrainingServers();
 
   DispatcherSettings m_settings;
   std::shared_ptr<const Configuration> m_configuration;
-  std::string m_refused_configuration;
+  std::string m_configuration_error;
   Http::ServerLimits m_limits;
   ServerDirectory m_servers;
   RetryBudget m_budget;
@@ -254,32 +255,32 @@
   Accounts::LocalAllowances m_allowances;
   Crashes::CrashLedger m_crashes;
   Crashes::RecentSuccesses m_successes;
-  EndDetector m_ends{m_servers};
+  EndDetector m_crash_detector{m_servers};
   LimitedServers m_limited{m_servers};
   DrainBook m_draining;
-  std::set<ServerPtr> m_backoff_news;    ///< Servers with a new Retry-After, not yet reviewed.
+  std::set<ServerPtr> m_new_backoffs;    ///< Servers with a new Retry-After, not yet handled.
   std::uint64_t m_draining_revision = 0; ///< Of the directory when m_draining was last applied.
   Decisions::AffinityRouting m_routing;
   std::map<Relay*, std::shared_ptr<Relay>> m_relays;
   std::map<Http::ServerConnection*, std::shared_ptr<Http::ServerConnection>> m_connections;
   std::map<std::pair<PoolId, Artifact>, int> m_arrivals;
-  struct ExpectedReturn
+  struct ExpectedRetry
   {
     Common::TimePoint at;
     int priority = 9;
   };
-  std::map<std::pair<PoolId, Artifact>, ExpectedReturn> m_returns;
+  std::map<std::pair<PoolId, Artifact>, ExpectedRetry> m_expected_retries;
   std::function<void()> m_on_demand;
   std::function<void()> m_on_permit_demand;
   /// When a request that the rate-limited server could have served last went elsewhere.
-  std::map<RateLimits::ServerKey, Common::TimePoint> m_passed_by;
+  std::map<RateLimits::ServerKey, Common::TimePoint> m_bypassed_at;
   DispatcherCounters m_counters;
   Common::Metrics m_metrics;
   Common::TimePoint m_configured_at;
-  bool m_wake_asked = false;
-  Common::OwnedTimer m_pump_timer;
+  bool m_dispatch_scheduled = false;
+  Common::OwnedTimer m_dispatch_timer;
   Common::OwnedTimer m_allowance_timer;
   bool m_stopping = false;
-  bool m_refusing = false;
+  bool m_refuses_requests = false;
 };
 } // namespace Gateway
--- a/Source/Core/Gateway/DispatcherLimits.cpp
+++ b/Source/Core/Gateway/DispatcherLimits.cpp
@@ -21,17 +21,17 @@
 
 /// A rate-limited server may be probed for this long after a request that it could have served went
 /// elsewhere.
-constexpr Milliseconds PASSED_BY_LATELY{1000};
+constexpr Milliseconds BYPASS_WINDOW{1000};
 /// The most servers that one daemon offers to probe at once.
 constexpr std::size_t MAX_PROBES = 8;
 /// Retries of callers that are refused because of a Retry-After are spread over this period.
 constexpr Milliseconds BACKOFF_RETURN_SPREAD{500};
 } // namespace
 
-void Dispatcher::NotePassedBy(const Server& server, Common::TimePoint now)
+void Dispatcher::RecordBypass(const Server& server, Common::TimePoint now)
 {
-  const auto before = std::exchange(m_passed_by[server.Key()], now);
-  if (now - before > PASSED_BY_LATELY && m_on_permit_demand)
+  const auto before = std::exchange(m_bypassed_at[server.Key()], now);
+  if (now - before > BYPASS_WINDOW && m_on_permit_demand)
     m_on_permit_demand();
 }
 
@@ -41,8 +41,9 @@
 }
 
 std::optional<EarlyRefusal>
-Dispatcher::RefuseForWait(const std::vector<ServerPtr>& holders, bool is_coming,
-                          std::optional<Decisions::WeightSource> nearest, Milliseconds longest_wait)
+Dispatcher::CheckExpectedWait(const std::vector<ServerPtr>& holders, bool is_coming,
+                              std::optional<Decisions::WeightSource> nearest,
+                              Milliseconds longest_wait)
 {
   const auto now = Common::Now();
   const ServerPtr& soonest = *std::ranges::min_element(holders, {}, [&](const ServerPtr& server) {
@@ -57,22 +58,22 @@
     return EarlyRefusal{m_limited.ComeBackAfter(*soonest, now),
                         "the queue for the servers' rate limits is too long", soonest};
   const auto spread = Milliseconds(Common::SharedRandom()() % BACKOFF_RETURN_SPREAD.count());
-  const auto come_back =
+  const auto retry_after =
       std::max(soonest->GetBackoff().Left(now) + spread, m_limited.ComeBackAfter(*soonest, now));
-  return EarlyRefusal{come_back, "the servers' Retry-After lasts too long", soonest};
+  return EarlyRefusal{retry_after, "the servers' Retry-After lasts too long", soonest};
 }
 
 std::vector<Dispatcher::AwaitedPermit> Dispatcher::AwaitedPermits(Common::TimePoint now) const
 {
   std::vector<AwaitedPermit> awaited;
   std::map<RateLimits::ServerKey, int> assigned;
-  for (const auto& relay : WaitingInOrder())
+  for (const auto& relay : WaitingRelays())
   {
     ServerPtr soonest;
     Milliseconds shortest_wait{0};
     for (const ServerPtr& server : m_limited.All())
     {
-      if (!IsEligible(*relay, *server, now) || server->InFlight() >= LimitFor(*server))
+      if (!IsEligible(*relay, *server, now) || server->InFlight() >= ConcurrencyLimitFor(*server))
         continue;
       const Milliseconds wait = m_limited.WaitBehind(*server, assigned[server->Key()]);
       if (soonest && wait >= shortest_wait)
@@ -88,67 +89,67 @@
   return awaited;
 }
 
-std::vector<RateLimits::ServerKey> Dispatcher::ProbesToOffer() const
+std::vector<RateLimits::ServerKey> Dispatcher::ProbeCandidates() const
 {
   std::vector<RateLimits::ServerKey> keys;
-  std::ranges::copy(std::views::keys(m_passed_by), std::back_inserter(keys));
+  std::ranges::copy(std::views::keys(m_bypassed_at), std::back_inserter(keys));
   // Shuffled, so that every server is offered at some time.
   std::ranges::shuffle(keys, Common::SharedRandom());
   keys.resize(std::min(keys.size(), MAX_PROBES));
   return keys;
 }
 
-std::vector<RateLimits::PermitWant> Dispatcher::PermitWants()
+std::vector<RateLimits::PermitWant> Dispatcher::PermitDemands()
 {
   const auto now = Common::Now();
-  std::map<RateLimits::ServerKey, RateLimits::PermitWant> wants;
+  std::map<RateLimits::ServerKey, RateLimits::PermitWant> demands;
   std::map<RateLimits::ServerKey, std::uint32_t> waiting;
   for (const AwaitedPermit& awaited : AwaitedPermits(now))
   {
     const RateLimits::ServerKey key = awaited.server->Key();
-    RateLimits::PermitWant& want = wants[key];
+    RateLimits::PermitWant& demand = demands[key];
     const auto left = awaited.relay->WaitLeft(now).count();
-    want.gives_up_ms = want.count == 0 ? left : std::min(want.gives_up_ms, left);
-    want.priority = std::min(want.priority, awaited.relay->Priority());
-    waiting[key] = ++want.count;
+    demand.gives_up_ms = demand.count == 0 ? left : std::min(demand.gives_up_ms, left);
+    demand.priority = std::min(demand.priority, awaited.relay->Priority());
+    waiting[key] = ++demand.count;
   }
-  m_limited.SetOwnWaiting(std::move(waiting));
-  std::erase_if(m_passed_by, [now](const auto& entry) {
-    return now - entry.second > PASSED_BY_LATELY;
+  m_limited.SetLocalWaiting(std::move(waiting));
+  std::erase_if(m_bypassed_at, [now](const auto& entry) {
+    return now - entry.second > BYPASS_WINDOW;
   });
   for (const ServerPtr& server : m_limited.All())
     if (const auto unused = m_limited.Permits().TakeUnused(server->Key(), now))
-      wants[server->Key()].unused = unused;
-  for (const RateLimits::ServerKey key : ProbesToOffer())
-    wants[key].may_probe = true;
+      demands[server->Key()].unused = unused;
+  for (const RateLimits::ServerKey key : ProbeCandidates())
+    demands[key].may_probe = true;
   std::vector<RateLimits::PermitWant> result;
-  for (auto& [key, want] : wants)
+  for (auto& [key, demand] : demands)
   {
-    want.server = key;
-    result.push_back(want);
+    demand.server = key;
+    result.push_back(demand);
   }
   return result;
 }
 
-void Dispatcher::ReviewWaiting()
+void Dispatcher::RecheckWaiting()
 {
   const auto now = Common::Now();
   for (const AwaitedPermit& awaited : AwaitedPermits(now))
     if (awaited.expected_wait > awaited.relay->WaitLeft(now))
-      awaited.relay->ReviewWait();
+      awaited.relay->RecheckWait();
 }
 
-void Dispatcher::TakePlaces(const std::vector<RateLimits::PlaceLine>& places)
+void Dispatcher::ApplyQueuePositions(const std::vector<RateLimits::PlaceLine>& places)
 {
-  m_limited.SetPlaces(places, Common::Now());
-  WakeWaiting();
-  ReviewWaiting();
+  m_limited.SetQueuePositions(places, Common::Now());
+  ScheduleDispatch();
+  RecheckWaiting();
 }
 
 void Dispatcher::OnLimitChange()
 {
-  WakeWaiting();
-  ReviewWaiting();
+  ScheduleDispatch();
+  RecheckWaiting();
   if (m_on_permit_demand)
     m_on_permit_demand();
 }
--- a/Source/Core/Gateway/DispatcherSignals.cpp
+++ b/Source/Core/Gateway/DispatcherSignals.cpp
@@ -22,17 +22,17 @@
 }
 
 /// True if another process than `server` responded at its address; its signals do not apply.
-bool IsOfAnotherInstance(const Server& server, const ServerSignals& signals)
+bool IsFromOtherInstance(const Server& server, const ServerSignals& signals)
 {
   return signals.instance && *signals.instance != server.Entry().instance.Get();
 }
 } // namespace
 
-void Dispatcher::NoteSignals(const ServerPtr& server, const ServerSignals& signals,
-                             const SignalOrigin& origin)
+void Dispatcher::ApplySignals(const ServerPtr& server, const ServerSignals& signals,
+                              const SignalOrigin& origin)
 {
   const InstanceId& instance = server->Entry().instance;
-  if (IsOfAnotherInstance(*server, signals))
+  if (IsFromOtherInstance(*server, signals))
     return;
   for (const UnreadableSignal& unreadable : signals.unreadable)
     Common::LogEvent(Common::LogLevel::Warning, "server-signal-unreadable",
@@ -41,7 +41,7 @@
                       {"header", unreadable.header},
                       {"value", unreadable.value}});
   if (signals.draining)
-    NoteAnnouncedEnd(server, origin);
+    OnDrainAnnounced(server, origin);
   else if (origin.is_request)
     server->Drain().NoteNotAnnounced(origin.sent_at);
   if (signals.backoff)
@@ -73,28 +73,28 @@
                     {"left_before_ms", before.count()},
                     {"in_all_ms", backoff.NamedSpan(now).count()},
                     {"sent_ms_ago", AgeOf(origin).count()}});
-  m_backoff_news.insert(server);
-  WakeWaiting();
+  m_new_backoffs.insert(server);
+  ScheduleDispatch();
 }
 
-void Dispatcher::ReviewBackoffs()
+void Dispatcher::HandleNewBackoffs()
 {
-  const auto servers = std::exchange(m_backoff_news, {});
+  const auto servers = std::exchange(m_new_backoffs, {});
   if (servers.empty())
     return;
   const auto relays = m_relays;
   for (const auto& [key, relay] : relays)
   {
     relay->WithdrawUnsent(servers);
-    relay->ReviewWait();
+    relay->RecheckWait();
   }
 }
 
-void Dispatcher::NoteInterimSignals(const ServerPtr& server, const ServerSignals& signals,
-                                    const SignalOrigin& origin)
+void Dispatcher::ApplyInterimSignals(const ServerPtr& server, const ServerSignals& signals,
+                                     const SignalOrigin& origin)
 {
-  if (signals.draining && !IsOfAnotherInstance(*server, signals))
-    NoteAnnouncedEnd(server, origin);
+  if (signals.draining && !IsFromOtherInstance(*server, signals))
+    OnDrainAnnounced(server, origin);
 }
 
 void Dispatcher::CountSend(const Server& server, Common::TimePoint now)
@@ -108,7 +108,7 @@
     ++m_counters.sent_after_drain;
 }
 
-void Dispatcher::NoteAnnouncedEnd(const ServerPtr& server, const SignalOrigin& origin)
+void Dispatcher::OnDrainAnnounced(const ServerPtr& server, const SignalOrigin& origin)
 {
   const auto now = Common::Now();
   if (!server->Drain().NoteAnnounced(now))
@@ -126,26 +126,27 @@
     m_on_demand();
 }
 
-void Dispatcher::TakeDrainNews(std::int64_t tenure, std::span<const RateLimits::ServerKey> servers)
+void Dispatcher::ApplyDrainUpdate(std::int64_t tenure,
+                                  std::span<const RateLimits::ServerKey> servers)
 {
   for (const RateLimits::ServerKey key : m_draining.TakeNews(tenure, servers, Common::Now()))
-    NoteReportedEnd(key, "the holder");
+    OnDrainReported(key, "the holder");
   if (!m_draining.Unconfirmed().empty() && m_on_permit_demand)
     m_on_permit_demand();
 }
 
-void Dispatcher::TakeDrainReport(const Common::VmId& from,
-                                 std::span<const RateLimits::ServerKey> servers)
+void Dispatcher::ApplyDrainReport(const Common::VmId& from,
+                                  std::span<const RateLimits::ServerKey> servers)
 {
   const std::uint64_t before = m_draining.Revision();
   for (const RateLimits::ServerKey key : servers)
     if (m_draining.Note(key, Common::Now()))
-      NoteReportedEnd(key, from.Get());
+      OnDrainReported(key, from.Get());
   if (m_draining.Revision() != before && m_on_permit_demand)
     m_on_permit_demand();
 }
 
-void Dispatcher::NoteReportedEnd(RateLimits::ServerKey key, std::string_view told_by)
+void Dispatcher::OnDrainReported(RateLimits::ServerKey key, std::string_view reported_by)
 {
   const ServerPtr server = m_servers.FindByKey(key);
   if (!server)
@@ -154,10 +155,10 @@
   Common::LogEvent(Common::LogLevel::Info, "server-draining",
                    {{"instance", server->Entry().instance},
                     {"source", ToString(DrainSource::OtherVm)},
-                    {"told_by", told_by}});
+                    {"told_by", reported_by}});
 }
 
-void Dispatcher::RefreshDraining()
+void Dispatcher::MarkDrainingServers()
 {
   if (m_draining.Empty() || m_draining_revision == m_servers.Revision())
     return;
--- a/Source/Core/Gateway/EntryPoint.cpp
+++ b/Source/Core/Gateway/EntryPoint.cpp
@@ -20,14 +20,14 @@
 
 /// The load balancer probes every second and removes a daemon after two failed probes. New
 /// connections that arrive until then are still served, and may use the rest of the grace period.
-constexpr Milliseconds NOTICE{2500};
+constexpr Milliseconds BALANCER_DELAY{2500};
 /// How often a stopping process checks whether its last request has ended.
 constexpr Milliseconds STOP_POLL{50};
 /// Open requests are ended this long before the grace period is over, so that the error responses
 /// still reach their callers.
 constexpr Milliseconds STOP_MARGIN{150};
 /// Requests that have crashed at least this many servers are included in the dump.
-constexpr std::size_t DUMPED_ENDINGS = 2;
+constexpr std::size_t MIN_DUMPED_CRASHES = 2;
 
 GMainLoop* MainLoop()
 {
@@ -144,7 +144,7 @@
                        {"models", std::move(models)}});
   }
   Common::Json crashes = Common::Json::array();
-  for (const Crashes::CaseLine& line : m_dispatcher.CrashCases().Worst(DUMPED_ENDINGS, now))
+  for (const Crashes::CaseLine& line : m_dispatcher.CrashCases().Worst(MIN_DUMPED_CRASHES, now))
     crashes.push_back({{"fingerprint", line.request.ToString()},
                        {"ended", Crashes::Describe(line.endings)},
                        {"blocked_for_ms", line.blocked_for_ms},
@@ -156,7 +156,7 @@
                            {"stopping", m_stopping},
                            {"open_requests", m_dispatcher.OpenRequests()},
                            {"configuration_version", configuration ? configuration->version : -1},
-                           {"configuration_refused", m_dispatcher.RefusedConfiguration()},
+                           {"configuration_refused", m_dispatcher.ConfigurationError()},
                            {"servers", std::move(servers)}});
 }
 
@@ -219,13 +219,13 @@
 void EntryPoint::WaitForEnd()
 {
   const auto waited = Common::Now() - m_stop_began;
-  const bool notice_over = waited >= std::min(NOTICE, m_settings.stop_grace / 2);
-  if (notice_over)
+  const bool balancer_notified = waited >= std::min(BALANCER_DELAY, m_settings.stop_grace / 2);
+  if (balancer_notified)
     m_dispatcher.CloseIdleConnections();
-  const bool overdue = waited >= m_settings.stop_grace - STOP_MARGIN;
-  if (overdue)
-    m_dispatcher.GiveUpAll();
-  if (notice_over && m_dispatcher.OpenRequests() == 0)
+  const bool grace_over = waited >= m_settings.stop_grace - STOP_MARGIN;
+  if (grace_over)
+    m_dispatcher.CancelAll();
+  if (balancer_notified && m_dispatcher.OpenRequests() == 0)
   {
     g_main_loop_quit(MainLoop());
     return;
--- a/Source/Core/Gateway/Forwarding.cpp
+++ b/Source/Core/Gateway/Forwarding.cpp
@@ -56,7 +56,7 @@
 } // namespace
 
 std::string ForwardedRequest(const Http::ReceivedRequest& request, const HeaderNames& names,
-                             const ForwardedParts& parts)
+                             const AddedHeaders& parts)
 {
   const Http::MessageHead& head = request.head;
   std::string bytes = head.method + " " + head.target + " HTTP/1.1\r\n";
--- a/Source/Core/Gateway/Forwarding.h
+++ b/Source/Core/Gateway/Forwarding.h
@@ -16,7 +16,7 @@
 namespace Gateway
 {
 /// Values of the headers that the relay adds to a request for one backend server.
-struct ForwardedParts
+struct AddedHeaders
 {
   Common::Milliseconds time_left{0};
   InstanceId instance;
@@ -28,7 +28,7 @@
 
 /// The request as it is sent to a backend server: head and body.
 std::string ForwardedRequest(const Http::ReceivedRequest& request, const HeaderNames& names,
-                             const ForwardedParts& parts);
+                             const AddedHeaders& parts);
 
 /// The headers of a backend server's response that are forwarded to the caller.
 std::vector<Http::HeaderField> ForwardedHeaders(const Http::MessageHead& head);
--- a/Source/Core/Gateway/LimitedServers.cpp
+++ b/Source/Core/Gateway/LimitedServers.cpp
@@ -21,10 +21,10 @@
 
 /// How long a queue position is used: the lease holder sends it in every answer to this daemon's
 /// periodic permit requests.
-constexpr Milliseconds AHEAD_VALID{300};
+constexpr Milliseconds QUEUE_POSITION_LIFETIME{300};
 /// How long the time of the next free permit is used: the lease holder announces it twice within
 /// this span.
-constexpr Milliseconds FREE_VALID{1300};
+constexpr Milliseconds NEXT_PERMIT_LIFETIME{1300};
 
 std::uint32_t CountOf(const std::map<ServerKey, std::uint32_t>& counts, ServerKey server)
 {
@@ -38,7 +38,7 @@
 {
   if (!reading.readable)
   {
-    ++m_unreadable;
+    ++m_unreadable_limits;
     Common::LogEvent(Common::LogLevel::Warning, "server-limit-unreadable",
                      {{"instance", server.Entry().instance},
                       {"value", reading.unreadable},
@@ -48,14 +48,14 @@
     Report({*change}, "an answer");
 }
 
-void LimitedServers::TakeNews(std::int64_t tenure, const RateLimits::LimitNews& news)
+void LimitedServers::ApplyUpdate(std::int64_t tenure, const RateLimits::LimitNews& news)
 {
   const auto now = Common::Now();
-  TakeQueues(news, now);
+  ApplyQueues(news, now);
   Report(m_book.TakeNews(tenure, news, now), "the holder");
 }
 
-void LimitedServers::TakeQueues(const RateLimits::LimitNews& news, Common::TimePoint now)
+void LimitedServers::ApplyQueues(const RateLimits::LimitNews& news, Common::TimePoint now)
 {
   std::erase_if(m_waiting, [&](const auto& entry) {
     return news.Covers(entry.first);
@@ -63,12 +63,12 @@
   for (const RateLimits::LimitLine& line : news.lines)
   {
     m_waiting[line.server] = line.waiting;
-    m_free_at[line.server] = {now + Milliseconds(line.free_in_ms), now};
+    m_next_permits[line.server] = {now + Milliseconds(line.free_in_ms), now};
   }
 }
 
-void LimitedServers::TakeObservations(std::int64_t tenure, const Common::VmId& from,
-                                      std::span<const RateLimits::LimitObservation> observations)
+void LimitedServers::ApplyObservations(std::int64_t tenure, const Common::VmId& from,
+                                       std::span<const RateLimits::LimitObservation> observations)
 {
   Report(m_book.TakeObservations(tenure, observations, Common::Now()), from.Get());
 }
@@ -117,12 +117,12 @@
     keys.push_back(server->Key());
   }
   m_permits.Retain(keys);
-  const auto is_over = [&](const auto& entry) {
+  const auto is_unlimited = [&](const auto& entry) {
     return std::ranges::find(keys, entry.first) == keys.end();
   };
-  std::erase_if(m_next_return, is_over);
-  std::erase_if(m_ahead, is_over);
-  std::erase_if(m_free_at, is_over);
+  std::erase_if(m_next_retry, is_unlimited);
+  std::erase_if(m_queue_positions, is_unlimited);
+  std::erase_if(m_next_permits, is_unlimited);
 }
 
 std::vector<RateLimits::PermitKeeper::KnownLimit> LimitedServers::KnownLimits() const
@@ -147,20 +147,20 @@
     m_permits.Take(server.Key(), limit->rate, now);
 }
 
-void LimitedServers::SetPlaces(const std::vector<RateLimits::PlaceLine>& lines,
-                               Common::TimePoint now)
+void LimitedServers::SetQueuePositions(const std::vector<RateLimits::PlaceLine>& lines,
+                                       Common::TimePoint now)
 {
   for (const RateLimits::PlaceLine& line : lines)
   {
-    m_ahead[line.server] = {line.ahead, now};
-    m_free_at[line.server] = {now + Milliseconds(line.free_in_ms), now};
+    m_queue_positions[line.server] = {line.ahead, now};
+    m_next_permits[line.server] = {now + Milliseconds(line.free_in_ms), now};
   }
 }
 
-Milliseconds LimitedServers::FreeIn(const Server& server, Common::TimePoint now) const
+Milliseconds LimitedServers::TimeToNextPermit(const Server& server, Common::TimePoint now) const
 {
-  const auto found = m_free_at.find(server.Key());
-  if (found != m_free_at.end() && now - found->second.told_at <= FREE_VALID)
+  const auto found = m_next_permits.find(server.Key());
+  if (found != m_next_permits.end() && now - found->second.announced_at <= NEXT_PERMIT_LIFETIME)
     return std::max(std::chrono::ceil<Milliseconds>(found->second.at - now), Milliseconds(0));
   return std::chrono::ceil<Milliseconds>(
       Seconds(1 / RateLimits::FlowPerSecond(server.Limit()->rate)));
@@ -168,7 +168,7 @@
 
 Milliseconds LimitedServers::ExpectedWait(const Server& server) const
 {
-  return WaitBehind(server, static_cast<int>(CountOf(m_own_waiting, server.Key())));
+  return WaitBehind(server, static_cast<int>(CountOf(m_local_waiting, server.Key())));
 }
 
 Milliseconds LimitedServers::WaitBehind(const Server& server, int own) const
@@ -176,15 +176,16 @@
   const auto& limit = server.Limit();
   if (!limit)
     return Milliseconds(0);
-  const std::uint32_t in_all = CountOf(m_waiting, server.Key());
-  const std::uint32_t here = CountOf(m_own_waiting, server.Key());
-  std::uint32_t elsewhere = in_all > here ? in_all - here : 0;
-  const auto told = m_ahead.find(server.Key());
-  if (told != m_ahead.end() && Common::Now() - told->second.told_at <= AHEAD_VALID)
-    elsewhere = told->second.count;
+  const std::uint32_t total = CountOf(m_waiting, server.Key());
+  const std::uint32_t local = CountOf(m_local_waiting, server.Key());
+  std::uint32_t elsewhere = total > local ? total - local : 0;
+  const auto position = m_queue_positions.find(server.Key());
+  if (position != m_queue_positions.end() &&
+      Common::Now() - position->second.announced_at <= QUEUE_POSITION_LIFETIME)
+    elsewhere = position->second.count;
   const double ahead = static_cast<double>(elsewhere) + own;
   if (ahead == 0)
-    return FreeIn(server, Common::Now());
+    return TimeToNextPermit(server, Common::Now());
   return std::chrono::ceil<Milliseconds>(
       Seconds((ahead + 1) / RateLimits::FlowPerSecond(limit->rate)));
 }
@@ -194,7 +195,7 @@
   const auto& limit = server.Limit();
   if (!limit)
     return Milliseconds(0);
-  Common::TimePoint& next = m_next_return[server.Key()];
+  Common::TimePoint& next = m_next_retry[server.Key()];
   const auto after_others =
       next + std::chrono::ceil<Milliseconds>(Seconds(1 / RateLimits::FlowPerSecond(limit->rate)));
   next = std::min(std::max(now + ExpectedWait(server), after_others), now + LONGEST_RETURN);
--- a/Source/Core/Gateway/LimitedServers.h
+++ b/Source/Core/Gateway/LimitedServers.h
@@ -30,12 +30,12 @@
   void NoteAnswer(const Server& server, const RateLimits::LimitReading& reading,
                   Common::TimePoint sent_at);
   /// Applies an announcement of the lease holder: limits and queues.
-  void TakeNews(std::int64_t tenure, const RateLimits::LimitNews& news);
+  void ApplyUpdate(std::int64_t tenure, const RateLimits::LimitNews& news);
   /// Applies only the queues of such an announcement.
-  void TakeQueues(const RateLimits::LimitNews& news, Common::TimePoint now);
+  void ApplyQueues(const RateLimits::LimitNews& news, Common::TimePoint now);
   /// At the lease holder: applies limits that another daemon has read from responses.
-  void TakeObservations(std::int64_t tenure, const Common::VmId& from,
-                        std::span<const RateLimits::LimitObservation> observations);
+  void ApplyObservations(std::int64_t tenure, const Common::VmId& from,
+                         std::span<const RateLimits::LimitObservation> observations);
   /// Applies the limits to the directory's servers; called after the directory has changed.
   void Refresh();
 
@@ -62,18 +62,18 @@
   /// returns a later time than the one before, so that the retries are spread out.
   Common::Milliseconds ComeBackAfter(const Server& server, Common::TimePoint now);
   /// Applies the lease holder's answer: how many requests are queued ahead of this daemon's.
-  void SetPlaces(const std::vector<RateLimits::PlaceLine>& lines, Common::TimePoint now);
+  void SetQueuePositions(const std::vector<RateLimits::PlaceLine>& lines, Common::TimePoint now);
   /// Sets how many requests of this daemon wait for permits, by server.
-  void SetOwnWaiting(std::map<RateLimits::ServerKey, std::uint32_t> waiting)
+  void SetLocalWaiting(std::map<RateLimits::ServerKey, std::uint32_t> waiting)
   {
-    m_own_waiting = std::move(waiting);
+    m_local_waiting = std::move(waiting);
   }
 
-  std::int64_t UnreadableAnswers() const { return m_unreadable; }
+  std::int64_t UnreadableLimits() const { return m_unreadable_limits; }
 
 private:
   /// Time until the next permit is free if no request waits.
-  Common::Milliseconds FreeIn(const Server& server, Common::TimePoint now) const;
+  Common::Milliseconds TimeToNextPermit(const Server& server, Common::TimePoint now) const;
   void Report(const std::vector<RateLimits::LimitChange>& changes, std::string_view source);
 
   ServerDirectory& m_servers;
@@ -82,24 +82,24 @@
   std::vector<ServerPtr> m_limited;
   /// Waiting requests of all daemons, as last announced by the lease holder.
   std::map<RateLimits::ServerKey, std::uint32_t> m_waiting;
-  std::map<RateLimits::ServerKey, std::uint32_t> m_own_waiting;
-  struct Ahead
+  std::map<RateLimits::ServerKey, std::uint32_t> m_local_waiting;
+  struct QueuePosition
   {
     std::uint32_t count = 0;
-    Common::TimePoint told_at;
+    Common::TimePoint announced_at;
   };
-  std::map<RateLimits::ServerKey, Ahead> m_ahead;
+  std::map<RateLimits::ServerKey, QueuePosition> m_queue_positions;
   /// When the next permit of a server is free, as last announced by the lease holder.
-  struct FreeAt
+  struct NextPermit
   {
     Common::TimePoint at;
-    Common::TimePoint told_at;
+    Common::TimePoint announced_at;
   };
-  std::map<RateLimits::ServerKey, FreeAt> m_free_at;
-  std::map<RateLimits::ServerKey, Common::TimePoint> m_next_return;
+  std::map<RateLimits::ServerKey, NextPermit> m_next_permits;
+  std::map<RateLimits::ServerKey, Common::TimePoint> m_next_retry;
   std::map<RateLimits::ServerKey, std::string> m_learned_from;
   std::function<void()> m_on_change;
-  std::int64_t m_unreadable = 0;
+  std::int64_t m_unreadable_limits = 0;
   std::uint64_t m_revision = 1;
 };
 } // namespace Gateway
--- a/Source/Core/Gateway/Relay.cpp
+++ b/Source/Core/Gateway/Relay.cpp
@@ -26,16 +26,16 @@
 /// of the latency target, a multiple of the gap target. The figures are those of the platform's
 /// documentation of requests.
 constexpr Milliseconds CALLER_PATIENCE{2000};
-constexpr int CALLER_PATIENCE_TARGETS = 4;
-constexpr int CALLER_PATIENCE_GAPS = 8;
+constexpr int CALLER_PATIENCE_LATENCY_TARGETS = 4;
+constexpr int CALLER_PATIENCE_GAP_TARGETS = 8;
 /// No further attempt is made with less time than this before the deadline.
 constexpr Milliseconds MIN_ATTEMPT_TIME{40};
 /// A streaming request that has no response after this many latency targets is retried at another
 /// server if it is repeatable. For other requests it is one latency target.
-constexpr double SILENCE_TARGETS = 2.5;
+constexpr double SILENCE_LATENCY_TARGETS = 2.5;
 /// A server that the platform no longer lists may still finish its work; if it has also been silent
 /// for this long, it is considered dead.
-constexpr Milliseconds GONE_SERVER_SILENCE{1900};
+constexpr Milliseconds UNLISTED_SERVER_TIMEOUT{1900};
 /// Retry-After of a refused request whose model no server holds (a load from disk takes about a
 /// second), and of other refused requests.
 constexpr std::string_view RETRY_AFTER_LOAD_S = "0.5";
@@ -53,7 +53,7 @@
 }
 
 /// All parts of the prompt but the last, which is specific to the request.
-std::string SharedParts(const std::string& parts)
+std::string SharedPromptParts(const std::string& parts)
 {
   const auto comma = parts.rfind(',');
   return comma == std::string::npos ? parts : parts.substr(0, comma);
@@ -83,8 +83,8 @@
 {
   if (route.repeatability != Repeatability::Streaming)
     return Milliseconds::max();
-  return std::max({CALLER_PATIENCE, route.latency_target * CALLER_PATIENCE_TARGETS,
-                   route.gap_target * CALLER_PATIENCE_GAPS});
+  return std::max({CALLER_PATIENCE, route.latency_target * CALLER_PATIENCE_LATENCY_TARGETS,
+                   route.gap_target * CALLER_PATIENCE_GAP_TARGETS});
 }
 } // namespace
 
@@ -184,12 +184,12 @@
 
 bool Relay::AnswerIfBlocked()
 {
-  const Crashes::Judgement judgement = m_dispatcher.JudgeCrashes(*this);
-  if (!judgement.blocked)
+  const Crashes::Judgement block_status = m_dispatcher.GetBlockStatus(*this);
+  if (!block_status.blocked)
     return false;
-  m_come_back_after = judgement.blocked_for;
+  m_retry_after = block_status.blocked_for;
   const std::string why =
-      std::to_string(judgement.endings) + " servers crashed while they had this request";
+      std::to_string(block_status.endings) + " servers crashed while they had this request";
   if (m_stream_begun)
     EndWith(Outcome::BrokenOff, 0, why);
   else
@@ -202,7 +202,7 @@
 {
   const auto guard = shared_from_this();
   // A server that has begun to respond may finish: a success would unblock the request.
-  if (!m_done && !m_server_spoke_at)
+  if (!m_done && !m_answer_began_at)
     AnswerIfBlocked();
 }
 
@@ -230,7 +230,7 @@
   }
   const std::string* parts = head.Find(names.prompt_parts);
   if (parts != nullptr)
-    m_affinity = m_artifact.ToString() + ":" + SharedParts(*parts);
+    m_affinity = m_artifact.ToString() + ":" + SharedPromptParts(*parts);
   if (const auto last_event = ParseNumber(head.Find(names.last_event_id)))
     m_events.StartAfter(*last_event);
 }
@@ -256,7 +256,7 @@
   if (AnswerIfBlocked())
     return;
   const ServerPtr server =
-      m_dispatcher.IsHeldBack(*this) ? nullptr : m_dispatcher.ChooseServer(*this);
+      m_dispatcher.MustAwaitCrashCheck(*this) ? nullptr : m_dispatcher.ChooseServer(*this);
   if (!server)
   {
     Wait();
@@ -280,7 +280,7 @@
   m_wait_timer.Stop();
   m_server = server;
   m_sent_at = now;
-  m_server_spoke_at.reset();
+  m_answer_began_at.reset();
   m_server->NoteStart(m_artifact, now);
   m_is_stream = false;
   m_body.clear();
@@ -300,19 +300,19 @@
   ++m_arrivals;
   m_tried.insert(m_server->Entry().instance);
   const HeaderNames& names = m_dispatcher.Settings().names;
-  ForwardedParts what;
-  what.time_left = TimeLeft();
-  what.instance = m_server->Entry().instance;
+  AddedHeaders added;
+  added.time_left = TimeLeft();
+  added.instance = m_server->Entry().instance;
   if (m_route.uses_model)
-    what.urgency = std::min(m_priority, MAX_URGENCY);
-  what.account = m_account;
+    added.urgency = std::min(m_priority, MAX_URGENCY);
+  added.account = m_account;
   if (m_stream_begun)
-    what.last_event_id = m_events.LastId();
-  m_connection->Send(ForwardedRequest(m_request, names, what), this,
+    added.last_event_id = m_events.LastId();
+  m_connection->Send(ForwardedRequest(m_request, names, added), this,
                      m_request.head.method == "HEAD");
   const bool is_stream = m_route.repeatability == Repeatability::Streaming;
   const auto target =
-      std::chrono::duration_cast<Milliseconds>(m_route.latency_target * SILENCE_TARGETS);
+      std::chrono::duration_cast<Milliseconds>(m_route.latency_target * SILENCE_LATENCY_TARGETS);
   ArmSilenceTimer(is_stream ? std::max(target, MIN_STREAM_SILENCE) : m_route.latency_target);
 }
 
@@ -341,8 +341,8 @@
     TryDispatch();
     return;
   }
-  if (m_kept_head)
-    PassAnswerOn();
+  if (m_saved_head)
+    ForwardSavedAnswer();
   else if (m_stream_begun)
     EndWith(Outcome::BrokenOff, 0, why);
   else if (m_may_have_run)
@@ -361,19 +361,19 @@
   return !m_stream_begun || resumes;
 }
 
-void Relay::PassAnswerOn()
+void Relay::ForwardSavedAnswer()
 {
-  m_head = *m_kept_head;
+  m_head = *m_saved_head;
   // These statuses promise that the request did not run. They are not forwarded unless the server
   // has confirmed it with its own header; those responses are handled as rejections.
-  const bool promises = m_head.status == 503 || m_head.status == 429 || m_head.status == 408;
-  if (promises)
+  const bool claims_not_run = m_head.status == 503 || m_head.status == 429 || m_head.status == 408;
+  if (claims_not_run)
   {
     Fail(502, "the server sent status " + std::to_string(m_head.status) +
                   " without confirming that the request did not run");
     return;
   }
-  m_caller->Respond(m_head.status, m_head.reason, ForwardedHeaders(m_head), m_kept_body);
+  m_caller->Respond(m_head.status, m_head.reason, ForwardedHeaders(m_head), m_saved_body);
   EndWith(Outcome::Answered, 0, "");
 }
 
@@ -391,16 +391,16 @@
   if (!m_connection)
     return;
   const auto now = Common::Now();
-  const bool gone = m_dispatcher.Servers().Find(m_server->Entry().instance) == nullptr;
-  if (gone && now - m_silence_since >= GONE_SERVER_SILENCE)
+  const bool is_unlisted = m_dispatcher.Servers().Find(m_server->Entry().instance) == nullptr;
+  if (is_unlisted && now - m_silence_since >= UNLISTED_SERVER_TIMEOUT)
   {
     AttemptFailed("the server is no longer listed and has sent nothing", true);
     return;
   }
-  const bool elsewhere = m_route.IsRepeatable() && MayTryAgain(true) &&
+  const bool can_retry = m_route.IsRepeatable() && MayTryAgain(true) &&
                          m_dispatcher.ChooseServer(*this) != nullptr &&
                          m_dispatcher.Budget().Left(m_pool, now) >= 1;
-  if (elsewhere)
+  if (can_retry)
   {
     m_server->Health().NoteFailure(now);
     AttemptFailed("the server has sent nothing for too long", true);
@@ -422,7 +422,7 @@
     Refuse("the deadline passed before the request ran");
 }
 
-void Relay::GiveUpForStop()
+void Relay::CancelForShutdown()
 {
   const auto guard = shared_from_this();
   if (m_stream_begun)
@@ -494,14 +494,14 @@
 
 std::string Relay::RetryAfter() const
 {
-  if (m_come_back_after)
+  if (m_retry_after)
   {
     // Random spread, so that callers that were refused together do not retry together.
     constexpr std::int64_t SPREAD = 10;
-    const auto spread = m_come_back_after->count() / SPREAD + 1;
+    const auto spread = m_retry_after->count() / SPREAD + 1;
     const auto extra =
         static_cast<std::int64_t>(Common::SharedRandom()() % static_cast<std::uint64_t>(spread));
-    const std::int64_t tenths = (m_come_back_after->count() + extra + 99) / 100;
+    const std::int64_t tenths = (m_retry_after->count() + extra + 99) / 100;
     return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10);
   }
   const bool lacks_model =
--- a/Source/Core/Gateway/Relay.h
+++ b/Source/Core/Gateway/Relay.h
@@ -27,7 +27,7 @@
 /// Why and for how long a request is refused without waiting any longer.
 struct EarlyRefusal
 {
-  Common::Milliseconds come_back_after{0};
+  Common::Milliseconds retry_after{0};
   std::string_view why;
   /// The server with the shortest expected wait, if the servers that hold the model have a limit or
   /// a Retry-After in force; otherwise null.
@@ -67,10 +67,10 @@
   /// True while the request waits for units of its account's limit, before it looks for a server.
   bool AwaitsAllowance() const { return m_awaits_allowance; }
   /// Tries again to take the units of the account's limit that the request waits for.
-  void TryAllowance();
+  void RetryAllowance();
   bool IsDone() const { return m_done; }
-  const Artifact& Wanted() const { return m_artifact; }
-  const PoolId& WantedPool() const { return m_pool; }
+  const Artifact& RequestedArtifact() const { return m_artifact; }
+  const PoolId& SelectedPool() const { return m_pool; }
   /// The priority of the caller's account; if that has none, of the route.
   int Priority() const { return m_priority; }
   Common::TimePoint ArrivedAt() const { return m_arrived; }
@@ -82,7 +82,7 @@
   /// True if the route allows the request to be sent to the server: to a new server while fewer
   /// than `max_servers` have been tried, then to the tried ones again. A server that rejected the
   /// request with a Retry-After is always allowed again.
-  bool MayGoTo(const InstanceId& instance) const;
+  bool MaySendTo(const InstanceId& instance) const;
   const Route& MatchedRoute() const { return m_route; }
   /// Identifies the request when its caller retries it. Computed on first use.
   const Crashes::Fingerprint& Fingerprint();
@@ -90,7 +90,7 @@
   Common::Milliseconds WaitLeft(Common::TimePoint now) const;
   /// Refuses the request if it waits for a server that will not take it in time and no other server
   /// can serve it.
-  void ReviewWait();
+  void RecheckWait();
   /// Redirects the request to another server if it is assigned to one of `servers`, which have sent
   /// a Retry-After, and none of its bytes have been sent yet.
   void WithdrawUnsent(const std::set<ServerPtr>& servers);
@@ -101,7 +101,7 @@
   void EndIfBlocked();
 
   /// Ends the request with an error because the process shuts down.
-  void GiveUpForStop();
+  void CancelForShutdown();
 
   Verdict OnAnswerHead(Http::MessageHead& head) override;
   void OnInterimHead(Http::MessageHead& head) override;
@@ -137,19 +137,19 @@
 
   // Handling of responses.
   void HandleRejection();
-  void HandleWholeAnswer();
-  bool IsSound(const Http::MessageHead& head) const;
+  void HandleCompleteAnswer();
+  bool IsValidAnswer(const Http::MessageHead& head) const;
   /// True if the response came from a different server process than the one addressed.
-  bool IsOfAnotherInstance() const;
+  bool IsFromOtherInstance() const;
   void ForwardEvents(const std::string& events);
   void FinishStream();
-  void PassAnswerOn();
+  void ForwardSavedAnswer();
 
   // Handling of failed attempts.
   void AttemptFailed(std::string_view why, bool may_have_run);
   bool MayTryAgain(bool may_have_run) const;
   /// True if the route allows the request to be sent to one more server.
-  bool MayGoToAnother() const;
+  bool MayTryNewServer() const;
   void Wait();
   /// Ends the request and returns true if it cannot be served before its caller disconnects.
   bool RefuseEarly();
@@ -174,7 +174,7 @@
   PoolId m_pool;
   Accounts::AccountName m_account; ///< Empty if the route needs no key.
   /// The account from the configuration that was in force when the request arrived.
-  std::shared_ptr<const Accounts::Account> m_limited;
+  std::shared_ptr<const Accounts::Account> m_account_config;
   double m_cost = 0; ///< In the units of the account's limit.
   bool m_charged = false;
   bool m_awaits_allowance = false;
@@ -196,7 +196,7 @@
   std::set<InstanceId> m_deferred_by; ///< Those of m_tried that rejected it with a Retry-After.
   Common::TimePoint m_sent_at;        ///< To the current server.
   /// When the response head of the current server arrived.
-  std::optional<Common::TimePoint> m_server_spoke_at;
+  std::optional<Common::TimePoint> m_answer_began_at;
   int m_arrivals = 0; ///< How often the request has reached, or may have reached, a server.
   bool m_may_have_run = false;
   bool m_waiting = false;
@@ -208,8 +208,8 @@
   std::string m_body;
   /// The response to forward: the latest one, or a server's first 5xx response while the request is
   /// retried elsewhere.
-  std::optional<Http::MessageHead> m_kept_head;
-  std::string m_kept_body;
+  std::optional<Http::MessageHead> m_saved_head;
+  std::string m_saved_body;
   EventSplitter m_events;
   bool m_stream_begun = false; ///< Bytes of the stream have been sent to the caller.
   std::optional<Common::Milliseconds> m_first_event_after;
@@ -218,6 +218,6 @@
   Common::Milliseconds m_longest_pause{0};
   std::string m_last_reason;
   /// How long the caller should wait before it retries a refused request; unset: a short default.
-  std::optional<Common::Milliseconds> m_come_back_after;
+  std::optional<Common::Milliseconds> m_retry_after;
 };
 } // namespace Gateway
--- a/Source/Core/Gateway/RelayAdmission.cpp
+++ b/Source/Core/Gateway/RelayAdmission.cpp
@@ -21,23 +21,23 @@
 /// 10 ms; without a holder, units become available by themselves within a second. In a replay with
 /// the holder missing for 4.5 s, a value of 0.8 s refused 7 of 100 units that were within the
 /// limit.
-constexpr Milliseconds ALLOWANCE_PATIENCE{1500};
+constexpr Milliseconds ALLOWANCE_TIMEOUT{1500};
 /// Retry-After while the keys cannot be proven current: a store that cannot be reached is queried
 /// about once a second.
-constexpr Milliseconds RETRY_AFTER_PROOF{1000};
+constexpr Milliseconds RETRY_AFTER_UNPROVEN_KEYS{1000};
 } // namespace
 
 void Relay::TakeAllowance()
 {
-  if (!m_limited || !m_limited->limit.IsLimited())
+  if (!m_account_config || !m_account_config->limit.IsLimited())
   {
     Begin();
     return;
   }
-  m_cost = Accounts::CostOf(m_limited->limit,
+  m_cost = Accounts::CostOf(m_account_config->limit,
                             m_request.head.Find(m_dispatcher.Settings().names.token_counts));
   const auto verdict =
-      m_dispatcher.Allowances().Take(*m_limited, m_cost, Common::Now(), !m_awaits_allowance);
+      m_dispatcher.Allowances().Take(*m_account_config, m_cost, Common::Now(), !m_awaits_allowance);
   if (verdict == Accounts::UsageVerdict::Taken)
   {
     m_charged = true;
@@ -51,18 +51,19 @@
   }
   m_awaits_allowance = true;
   m_dispatcher.Allowances().BeginWait(m_account, m_cost);
-  m_wait_timer.Start(ALLOWANCE_PATIENCE, [this] {
+  m_wait_timer.Start(ALLOWANCE_TIMEOUT, [this] {
     RefuseAllowance(Accounts::UsageVerdict::Over);
   });
-  m_dispatcher.RequestAllowance();
+  m_dispatcher.ScheduleAllowanceRetry();
 }
 
-void Relay::TryAllowance()
+void Relay::RetryAllowance()
 {
   if (!m_awaits_allowance)
     return;
   const auto guard = shared_from_this();
-  const auto verdict = m_dispatcher.Allowances().Take(*m_limited, m_cost, Common::Now(), false);
+  const auto verdict =
+      m_dispatcher.Allowances().Take(*m_account_config, m_cost, Common::Now(), false);
   if (verdict != Accounts::UsageVerdict::Taken)
     return;
   m_awaits_allowance = false;
@@ -76,7 +77,7 @@
 {
   const auto guard = shared_from_this();
   m_dispatcher.Allowances().NoteRefused(m_account, m_cost);
-  m_come_back_after = m_dispatcher.Allowances().ComeBackAfter(*m_limited, m_cost, Common::Now());
+  m_retry_after = m_dispatcher.Allowances().ComeBackAfter(*m_account_config, m_cost, Common::Now());
   if (verdict == Accounts::UsageVerdict::Over)
     EndWith(Outcome::OverLimit, 429, "the account has used up its limit");
   else
@@ -123,7 +124,8 @@
     break;
   }
   m_account = caller.account->name;
-  m_limited = std::shared_ptr<const Accounts::Account>(configuration.accounts, caller.account);
+  m_account_config =
+      std::shared_ptr<const Accounts::Account>(configuration.accounts, caller.account);
   m_priority = caller.account->priority.value_or(m_route.priority);
   return KeyStillAllows();
 }
@@ -148,7 +150,7 @@
   if (m_dispatcher.Keys().Stands(now))
     return true;
   const auto age = m_dispatcher.Keys().Age(now);
-  m_come_back_after = RETRY_AFTER_PROOF;
+  m_retry_after = RETRY_AFTER_UNPROVEN_KEYS;
   Common::LogEvent(Common::LogLevel::Warning, "key-not-proven",
                    {{"id", m_id},
                     {"account", m_account},
--- a/Source/Core/Gateway/RelayAnswers.cpp
+++ b/Source/Core/Gateway/RelayAnswers.cpp
@@ -19,7 +19,7 @@
 using Common::Milliseconds;
 
 /// A stream that pauses for this many gap targets is resumed at another server.
-constexpr int SILENCE_GAPS = 4;
+constexpr int SILENCE_GAP_TARGETS = 4;
 } // namespace
 
 Http::AnswerEvents::Verdict Relay::OnAnswerHead(Http::MessageHead& head)
@@ -35,26 +35,26 @@
     return Verdict::Skip;
   }
   m_head = head;
-  m_server_spoke_at = Common::Now();
-  const bool is_sound = IsSound(m_head);
+  m_answer_began_at = Common::Now();
+  const bool is_sound = IsValidAnswer(m_head);
   m_signals = ReadSignals(m_head.status, m_head.headers, m_dispatcher.Settings().names,
                           std::chrono::system_clock::now());
   if (is_sound)
-    m_dispatcher.NoteSignals(m_server, m_signals, {m_id, m_sent_at});
+    m_dispatcher.ApplySignals(m_server, m_signals, {m_id, m_sent_at});
   const std::string* type = m_head.Find("Content-Type");
   m_is_stream = m_route.repeatability == Repeatability::Streaming && m_head.status == 200 &&
                 is_sound && (type == nullptr || type->find("event-stream") != std::string::npos);
   return Verdict::Take;
 }
 
-bool Relay::IsSound(const Http::MessageHead& head) const
+bool Relay::IsValidAnswer(const Http::MessageHead& head) const
 {
   const bool success = head.status >= 200 && head.status < 300;
   const bool signed_by_server = head.Find(m_dispatcher.Settings().names.signature) != nullptr;
   return (!success || signed_by_server) && head.Find("Content-Encoding") == nullptr;
 }
 
-bool Relay::IsOfAnotherInstance() const
+bool Relay::IsFromOtherInstance() const
 {
   return m_signals.instance && *m_signals.instance != m_server->Entry().instance.Get();
 }
@@ -63,7 +63,7 @@
 {
   const ServerSignals signals = ReadSignals(
       head.status, head.headers, m_dispatcher.Settings().names, std::chrono::system_clock::now());
-  m_dispatcher.NoteInterimSignals(m_server, signals, {m_id, m_sent_at});
+  m_dispatcher.ApplyInterimSignals(m_server, signals, {m_id, m_sent_at});
 }
 
 void Relay::OnAnswerBody(std::string_view bytes)
@@ -81,7 +81,7 @@
 {
   if (events.empty())
     return;
-  const auto gap = m_route.gap_target * SILENCE_GAPS;
+  const auto gap = m_route.gap_target * SILENCE_GAP_TARGETS;
   ArmSilenceTimer(std::max(gap, MIN_STREAM_SILENCE));
   if (!m_stream_begun)
   {
@@ -113,7 +113,7 @@
   if (m_is_stream)
     FinishStream();
   else
-    HandleWholeAnswer();
+    HandleCompleteAnswer();
 }
 
 void Relay::FinishStream()
@@ -128,14 +128,14 @@
   EndWith(Outcome::Answered, 0, "");
 }
 
-void Relay::HandleWholeAnswer()
+void Relay::HandleCompleteAnswer()
 {
   if (m_signals.not_run)
   {
     HandleRejection();
     return;
   }
-  if (!IsSound(m_head))
+  if (!IsValidAnswer(m_head))
   {
     m_server->Health().NoteFailure(Common::Now());
     AttemptFailed("the response has no server signature, or a Content-Encoding", true);
@@ -154,22 +154,22 @@
   // Only a success shows that the server has run the request; an error may come without a run.
   if (m_head.status >= 200 && m_head.status < 300)
     m_dispatcher.NoteSurvival(*this);
-  const bool is_first_failure = server_failed && !m_kept_head;
+  const bool is_first_failure = server_failed && !m_saved_head;
   if (!server_failed || is_first_failure)
   {
-    m_kept_head = m_head;
-    m_kept_body = m_body;
+    m_saved_head = m_head;
+    m_saved_body = m_body;
   }
   if (is_first_failure && m_route.IsRepeatable())
     AttemptFailed("the server failed with status " + std::to_string(m_head.status), true);
   else
-    PassAnswerOn();
+    ForwardSavedAnswer();
 }
 
 void Relay::HandleRejection()
 {
   const auto now = Common::Now();
-  if (m_head.status == 421 && IsOfAnotherInstance())
+  if (m_head.status == 421 && IsFromOtherInstance())
     m_server->NoteReplaced();
   else if (m_head.status == 421)
     m_server->NoteMissing(m_artifact, now);
@@ -198,7 +198,7 @@
     else
     {
       m_server->Health().NoteUnreachable(now);
-      m_dispatcher.Ends().NoteRefused(m_server);
+      m_dispatcher.GetCrashDetector().NoteRefused(m_server);
     }
     --m_arrivals;
     m_tried.erase(m_server->Entry().instance);
@@ -212,8 +212,8 @@
     return;
   }
   std::optional<Milliseconds> ran_for;
-  if (m_server_spoke_at)
-    ran_for = std::chrono::duration_cast<Milliseconds>(now - *m_server_spoke_at);
+  if (m_answer_began_at)
+    ran_for = std::chrono::duration_cast<Milliseconds>(now - *m_answer_began_at);
   m_dispatcher.NoteBroken(m_server, *this, m_sent_at, ran_for);
   AttemptFailed("the connection broke before the response was complete", true);
 }
--- a/Source/Core/Gateway/RelayWaiting.cpp
+++ b/Source/Core/Gateway/RelayWaiting.cpp
@@ -27,15 +27,15 @@
 
 void Relay::Wait()
 {
-  if (!MayGoToAnother() && !m_waiting)
+  if (!MayTryNewServer() && !m_waiting)
   {
     // The route allows only the servers that were already tried, and none of them can serve it now.
     const auto now = Common::Now();
-    const bool hopeful = std::ranges::any_of(m_tried, [&](const InstanceId& instance) {
+    const bool any_usable = std::ranges::any_of(m_tried, [&](const InstanceId& instance) {
       const ServerPtr server = m_dispatcher.Servers().Find(instance);
       return server && server->MayServe(m_artifact, now);
     });
-    if (!hopeful)
+    if (!any_usable)
     {
       AttemptFailed("the route allows no further server", m_may_have_run);
       return;
@@ -49,7 +49,7 @@
   m_wait_timer.Start(WaitLeft(Common::Now()), [this] {
     OnWaitExpired();
   });
-  m_dispatcher.RequestDemand();
+  m_dispatcher.ReportDemand();
 }
 
 Milliseconds Relay::WaitLeft(Common::TimePoint now) const
@@ -63,7 +63,7 @@
 
 bool Relay::RefuseEarly()
 {
-  const auto refusal = m_dispatcher.WhyRefuse(*this, m_patience, WaitLeft(Common::Now()));
+  const auto refusal = m_dispatcher.CheckEarlyRefusal(*this, m_patience, WaitLeft(Common::Now()));
   if (!refusal)
     return false;
   if (m_may_have_run)
@@ -74,9 +74,9 @@
       OnWaitExpired();
     return refusal->holder != nullptr;
   }
-  m_come_back_after = refusal->come_back_after;
+  m_retry_after = refusal->retry_after;
   LogEarlyRefusal(*refusal);
-  m_dispatcher.ExpectReturn(*this, refusal->come_back_after);
+  m_dispatcher.ExpectRetry(*this, refusal->retry_after);
   Refuse(refusal->why);
   return true;
 }
@@ -94,7 +94,7 @@
                       {"instance", holder.Entry().instance},
                       {"left_ms", holder.GetBackoff().Left(now).count()},
                       {"patience_ms", WaitLeft(now).count()},
-                      {"come_back_ms", refusal.come_back_after.count()}});
+                      {"come_back_ms", refusal.retry_after.count()}});
   else if (const auto& limit = holder.Limit())
     Common::LogEvent(
         Common::LogLevel::Info, "refused-for-limit",
@@ -105,17 +105,17 @@
          {"limit_age_ms", std::chrono::floor<Milliseconds>(now - limit->since).count()},
          {"expected_wait_ms", m_dispatcher.Limited().ExpectedWait(holder).count()},
          {"patience_ms", WaitLeft(now).count()},
-         {"come_back_ms", refusal.come_back_after.count()}});
+         {"come_back_ms", refusal.retry_after.count()}});
 }
 
-bool Relay::MayGoToAnother() const
+bool Relay::MayTryNewServer() const
 {
   return static_cast<int>(m_tried.size()) < m_route.max_servers;
 }
 
-bool Relay::MayGoTo(const InstanceId& instance) const
+bool Relay::MaySendTo(const InstanceId& instance) const
 {
-  return m_tried.contains(instance) != MayGoToAnother() || m_deferred_by.contains(instance);
+  return m_tried.contains(instance) != MayTryNewServer() || m_deferred_by.contains(instance);
 }
 
 void Relay::WithdrawUnsent(const std::set<ServerPtr>& servers)
@@ -129,7 +129,7 @@
   AttemptFailed("the server sent a Retry-After before the request was sent", m_may_have_run);
 }
 
-void Relay::ReviewWait()
+void Relay::RecheckWait()
 {
   const auto guard = shared_from_this();
   if (m_waiting && !m_done)
@@ -139,9 +139,9 @@
 void Relay::OnWaitExpired()
 {
   const auto guard = shared_from_this();
-  if (m_kept_head)
+  if (m_saved_head)
   {
-    PassAnswerOn();
+    ForwardSavedAnswer();
     return;
   }
   if (m_stream_begun)
--- a/Source/Core/Gateway/RetryBudget.cpp
+++ b/Source/Core/Gateway/RetryBudget.cpp
@@ -17,7 +17,7 @@
 constexpr double USED_SHARE = 0.7;
 } // namespace
 
-RetryBudget::Counts& RetryBudget::Fresh(const PoolId& pool, Common::TimePoint now)
+RetryBudget::Counts& RetryBudget::PrunedCounts(const PoolId& pool, Common::TimePoint now)
 {
   Counts& counts = m_counts[pool];
   const auto oldest = now - m_settings.window;
@@ -30,12 +30,12 @@
 
 void RetryBudget::NoteRequest(const PoolId& pool, Common::TimePoint now)
 {
-  Fresh(pool, now).requests.push_back(now);
+  PrunedCounts(pool, now).requests.push_back(now);
 }
 
 double RetryBudget::Left(const PoolId& pool, Common::TimePoint now)
 {
-  const Counts& counts = Fresh(pool, now);
+  const Counts& counts = PrunedCounts(pool, now);
   const double slack = Common::IsOn(Common::Mechanism::BudgetSlack) ? m_settings.slack : 0;
   const double allowed = m_settings.ratio * static_cast<double>(counts.requests.size()) +
                          slack / std::max(m_daemons, 1);
--- a/Source/Core/Gateway/RetryBudget.h
+++ b/Source/Core/Gateway/RetryBudget.h
@@ -40,7 +40,7 @@
     std::deque<Common::TimePoint> requests;
     std::deque<Common::TimePoint> repeats;
   };
-  Counts& Fresh(const PoolId& pool, Common::TimePoint now);
+  Counts& PrunedCounts(const PoolId& pool, Common::TimePoint now);
 
   RetryBudgetSettings m_settings;
   int m_daemons = 1;
--- a/Source/Core/Orders/CrashArchive.cpp
+++ b/Source/Core/Orders/CrashArchive.cpp
@@ -62,7 +62,7 @@
   m_row = std::move(archived->cases);
   for (Crashes::CaseLine& line : m_row)
     MakeOlder(line, age);
-  m_dispatcher.TakeCrashCases(m_row);
+  m_dispatcher.MergeCrashCases(m_row);
 }
 
 CrashArchive::Essence CrashArchive::EssenceOf(const std::vector<Crashes::CaseLine>& cases,
--- a/Source/Core/Orders/Hub.cpp
+++ b/Source/Core/Orders/Hub.cpp
@@ -571,7 +571,7 @@
       peer.crash_sent = peer.crash_revision;
       AnnounceSoon();
     }
-    m_dispatcher.TakeCrashCases(report.crashes);
+    m_dispatcher.MergeCrashCases(report.crashes);
     if (m_dispatcher.CrashCases().Revision() != m_crashes_announced)
       AnnounceSoon();
     m_desk.TakeReport(report, now);
@@ -628,7 +628,7 @@
   m_dispatcher.Limited().Permits().NoteHolderHeard(m_holder_heard_at);
   for (const RateLimits::LimitNews& news : state->limits)
     m_permits.TakeNews(report.fence, news);
-  m_dispatcher.TakeDrainNews(report.fence, state->draining);
+  m_dispatcher.ApplyDrainUpdate(report.fence, state->draining);
   if (m_on_lease_word && !m_own_lease)
     m_on_lease_word({report.fence, state->lease_version, Milliseconds(state->lease_left_ms)},
                     state->vm, from);
@@ -645,7 +645,7 @@
       if (Common::IsOn(Common::Mechanism::RemoteLoad))
         server->SetRemoteInFlight(std::max(elsewhere, 0));
     }
-  m_dispatcher.WakeWaiting();
+  m_dispatcher.ScheduleDispatch();
 }
 
 void Hub::TakePlacements(const HolderReport& report)
@@ -672,7 +672,7 @@
     ReportSoon();
     return;
   }
-  m_dispatcher.TakeCrashCases(report.crashes);
+  m_dispatcher.MergeCrashCases(report.crashes);
   m_crash_heard = std::max(m_crash_heard, report.crash_to);
 }
 
--- a/Source/Core/Orders/PermitExchange.cpp
+++ b/Source/Core/Orders/PermitExchange.cpp
@@ -76,7 +76,7 @@
   ask.run = m_settings.run;
   ask.data_centre = m_dispatcher.Settings().data_centre;
   ask.tenure = m_tenure;
-  ask.wants = m_dispatcher.PermitWants();
+  ask.wants = m_dispatcher.PermitDemands();
   for (const auto& observation : m_dispatcher.Limited().Book().Unconfirmed(Common::Now()))
     if (m_dispatcher.Servers().FindByKey(observation.server))
       ask.observations.push_back(observation);
@@ -129,8 +129,8 @@
   if (peer.run == ask.run && ask.sequence <= peer.sequence)
     return;
   peer = {from, ask.run, ask.sequence, now};
-  m_dispatcher.Limited().TakeObservations(ask.tenure, ask.vm, ask.observations);
-  m_dispatcher.TakeDrainReport(ask.vm, ask.draining);
+  m_dispatcher.Limited().ApplyObservations(ask.tenure, ask.vm, ask.observations);
+  m_dispatcher.ApplyDrainReport(ask.vm, ask.draining);
   TellKeeper(now);
   m_keeper.TakeWants({ask.vm, ask.data_centre}, ask.wants, now);
   HandOut();
@@ -229,7 +229,7 @@
     line.waiting = m_keeper.Waiting(line.server, now);
     line.free_in_ms = static_cast<std::uint32_t>(m_keeper.FreeIn(line.server, now).count());
   }
-  m_dispatcher.Limited().TakeQueues(news, now);
+  m_dispatcher.Limited().ApplyQueues(news, now);
   return news;
 }
 
@@ -240,7 +240,7 @@
   if (tenure > m_tenure)
     AskSoon();
   m_tenure = std::max(m_tenure, tenure);
-  m_dispatcher.Limited().TakeNews(tenure, news);
+  m_dispatcher.Limited().ApplyUpdate(tenure, news);
 }
 
 void PermitExchange::TakeReply(const PermitReply& reply)
@@ -258,6 +258,6 @@
   const auto until = sent->at + Milliseconds(reply.held_ms) + RateLimits::PERMIT_VALID;
   for (const RateLimits::PermitLine& line : reply.permits)
     m_dispatcher.Limited().Permits().Add(line.server, line.count, until);
-  m_dispatcher.TakePlaces(reply.places);
+  m_dispatcher.ApplyQueuePositions(reply.places);
 }
 } // namespace Orders
--- a/Source/UnitTests/Fuzz.cpp
+++ b/Source/UnitTests/Fuzz.cpp
@@ -97,7 +97,7 @@
   names.account = "Tenant";
   names.time_left_ms = "Left";
   names.expected_instance = "Want";
-  Gateway::ForwardedParts parts;
+  Gateway::AddedHeaders parts;
   parts.account = Accounts::AccountName("ours");
   const auto forwarded = ParseRequest(Gateway::ForwardedRequest(*request, names, parts));
   if (!forwarded)
--- a/Source/UnitTests/Gateway/BackoffTest.cpp
+++ b/Source/UnitTests/Gateway/BackoffTest.cpp
@@ -247,7 +247,7 @@
     const auto renewed = Common::Now();
     ServerSignals signals;
     signals.backoff = Milliseconds(30000);
-    world.dispatcher.NoteSignals(known, signals, {"another", renewed});
+    world.dispatcher.ApplySignals(known, signals, {"another", renewed});
     CPPUNIT_ASSERT(world.CallerGot("503"));
     CPPUNIT_ASSERT(Common::Now() - renewed < Milliseconds(50));
   }
@@ -261,7 +261,7 @@
     ServerSignals signals;
     signals.backoff = Milliseconds(30000);
     signals.draining = true;
-    world.dispatcher.NoteSignals(known, signals, {"an order", Common::Now(), false});
+    world.dispatcher.ApplySignals(known, signals, {"an order", Common::Now(), false});
     CPPUNIT_ASSERT(known->IsDraining());
     world.Ask(PLAIN_PATH, "id-1");
     CPPUNIT_ASSERT(world.CallerGot("503"));
@@ -276,13 +276,13 @@
     const ServerPtr known = world.dispatcher.Servers().Find(InstanceId("i-1"));
     ServerSignals limited;
     limited.limit.rate = RateLimits::RequestRate(3000);
-    world.dispatcher.NoteSignals(known, limited, {"id-1", Common::Now()});
+    world.dispatcher.ApplySignals(known, limited, {"id-1", Common::Now()});
     CPPUNIT_ASSERT(known->Limit());
     known->Drain().NoteReported(Common::Now());
     const auto later = Common::Now() + Milliseconds(1);
-    world.dispatcher.NoteSignals(known, {}, {"a report", later, false});
+    world.dispatcher.ApplySignals(known, {}, {"a report", later, false});
     CPPUNIT_ASSERT(known->Limit() && known->IsDraining());
-    world.dispatcher.NoteSignals(known, {}, {"id-2", later});
+    world.dispatcher.ApplySignals(known, {}, {"id-2", later});
     CPPUNIT_ASSERT(!known->Limit() && !known->IsDraining());
   }
 };
--- a/Source/UnitTests/Gateway/CallerKeysTest.cpp
+++ b/Source/UnitTests/Gateway/CallerKeysTest.cpp
@@ -80,23 +80,23 @@
 class CallerKeysTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CallerKeysTest);
-  CPPUNIT_TEST(TheServerLearnsTheAccountAndNotTheKey);
-  CPPUNIT_TEST(AForgedAccountIsReplaced);
-  CPPUNIT_TEST(NoSpellingOfTheKeyGoesOn);
-  CPPUNIT_TEST(ARepeatHoldsNoKeyEither);
-  CPPUNIT_TEST(WithoutAccountsAKeyDoesNotGoOnEither);
+  CPPUNIT_TEST(ServerReceivesTheAccountButNotTheKey);
+  CPPUNIT_TEST(ForgedAccountHeaderIsReplaced);
+  CPPUNIT_TEST(KeyIsNotForwardedInAnySpelling);
+  CPPUNIT_TEST(RetryDoesNotForwardTheKey);
+  CPPUNIT_TEST(KeyIsNotForwardedWithoutAccounts);
   CPPUNIT_TEST(AnUnknownOrMissingKeyIs401);
   CPPUNIT_TEST(KeysThatDifferAre400);
-  CPPUNIT_TEST(AnOpenRouteNeedsNoKeyAndTellsNoAccount);
+  CPPUNIT_TEST(OpenRouteNeedsNoKeyAndForwardsNoAccount);
   CPPUNIT_TEST(AnUnknownRouteIs404WhateverTheKey);
-  CPPUNIT_TEST(TheAccountsPriorityGoesBeforeTheRoutes);
-  CPPUNIT_TEST(AKeyThatIsTakenAwayWhileItsRequestWaitsRunsNothing);
+  CPPUNIT_TEST(AccountPriorityOverridesRoutePriority);
+  CPPUNIT_TEST(RequestWhoseKeyIsRevokedWhileItWaitsDoesNotRun);
   CPPUNIT_TEST(WithoutAProofKeysAreRefusedAtOnceAndOpenRoutesServed);
-  CPPUNIT_TEST(AProofThatEndsWhileARequestWaitsStopsIt);
-  CPPUNIT_TEST(ANewProofLetsKeysInAgain);
+  CPPUNIT_TEST(ExpiredProofStopsAWaitingRequest);
+  CPPUNIT_TEST(KeysAreAcceptedAgainAfterANewProof);
   CPPUNIT_TEST_SUITE_END();
 
-  void TheServerLearnsTheAccountAndNotTheKey()
+  void ServerReceivesTheAccountButNotTheKey()
   {
     KeysWorld world;
     TestServer server = Echo();
@@ -107,7 +107,7 @@
     CPPUNIT_ASSERT(server.requests.at(0).find("secret") == std::string::npos);
   }
 
-  void AForgedAccountIsReplaced()
+  void ForgedAccountHeaderIsReplaced()
   {
     KeysWorld world;
     TestServer server = Echo();
@@ -122,7 +122,7 @@
 
   /// The key header in capitals, repeated, listed in Connection, with extra whitespace, and in a
   /// trailer.
-  void NoSpellingOfTheKeyGoesOn()
+  void KeyIsNotForwardedInAnySpelling()
   {
     KeysWorld world;
     TestServer server = Echo();
@@ -138,7 +138,7 @@
     CPPUNIT_ASSERT(Lower(server.requests.at(0)).find("api-key") == std::string::npos);
   }
 
-  void ARepeatHoldsNoKeyEither()
+  void RetryDoesNotForwardTheKey()
   {
     KeysWorld world;
     std::string heads;
@@ -162,7 +162,7 @@
         CPPUNIT_ASSERT_EQUAL(std::string("one"), HeaderOf(head, "Account"));
   }
 
-  void WithoutAccountsAKeyDoesNotGoOnEither()
+  void KeyIsNotForwardedWithoutAccounts()
   {
     UnitTests::RelayWorld world;
     TestServer server = Echo();
@@ -197,7 +197,7 @@
     CPPUNIT_ASSERT(server.requests.empty());
   }
 
-  void AnOpenRouteNeedsNoKeyAndTellsNoAccount()
+  void OpenRouteNeedsNoKeyAndForwardsNoAccount()
   {
     KeysWorld world;
     TestServer server = Echo();
@@ -216,7 +216,7 @@
     CPPUNIT_ASSERT(world.CallerGot("404 "));
   }
 
-  void TheAccountsPriorityGoesBeforeTheRoutes()
+  void AccountPriorityOverridesRoutePriority()
   {
     KeysWorld world;
     world.ServeModel(Milliseconds(1000));
@@ -236,7 +236,7 @@
 
   /// The request arrives with a valid key and waits for a server; the key is revoked before a
   /// server becomes available.
-  void AKeyThatIsTakenAwayWhileItsRequestWaitsRunsNothing()
+  void RequestWhoseKeyIsRevokedWhileItWaitsDoesNotRun()
   {
     KeysWorld world;
     TestServer server = Echo();
@@ -268,7 +268,7 @@
     CPPUNIT_ASSERT(world.CallerGot("200 OK"));
   }
 
-  void AProofThatEndsWhileARequestWaitsStopsIt()
+  void ExpiredProofStopsAWaitingRequest()
   {
     KeysWorld world;
     world.LimitKeys(KEY_LIMIT);
@@ -282,7 +282,7 @@
     CPPUNIT_ASSERT(server.requests.empty());
   }
 
-  void ANewProofLetsKeysInAgain()
+  void KeysAreAcceptedAgainAfterANewProof()
   {
     KeysWorld world;
     world.LimitKeys(KEY_LIMIT);
--- a/Source/UnitTests/Gateway/CrashingRequestsTest.cpp
+++ b/Source/UnitTests/Gateway/CrashingRequestsTest.cpp
@@ -32,10 +32,10 @@
 constexpr const char* HONEST = "/plain/honest";
 
 /// Servers that crash as soon as they run the crashing request, and then refuse connections.
-class Fleet
+class CrashingServers
 {
 public:
-  explicit Fleet(RelayWorld& world, int servers)
+  explicit CrashingServers(RelayWorld& world, int servers)
   {
     for (int i = 0; i < servers; ++i)
     {
@@ -48,7 +48,7 @@
   }
 
   int crasher_arrivals = 0;
-  int ended = 0;
+  int crashed = 0;
 
 private:
   void Serve(int index, TestPeer& peer, const std::string& head)
@@ -59,18 +59,18 @@
       return;
     }
     ++crasher_arrivals;
-    m_soon.Call([this, index] {
-      ended += m_servers[index] ? 1 : 0;
+    m_deferred.Call([this, index] {
+      crashed += m_servers[index] ? 1 : 0;
       m_servers[index].reset();
     });
   }
 
   std::deque<std::unique_ptr<TestServer>> m_servers;
-  UnitTests::SoonCaller m_soon;
+  UnitTests::DeferredCaller m_deferred;
 };
 
 /// Sends a request, waits for the response and returns its head.
-std::string AskAndWait(RelayWorld& world, const char* path, const std::string& id)
+std::string SendAndWait(RelayWorld& world, const char* path, const std::string& id)
 {
   world.caller.received.clear();
   world.Ask(path, id);
@@ -82,11 +82,11 @@
 class CrashingRequestsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CrashingRequestsTest);
-  CPPUNIT_TEST(ComesAgainAndEndsThreeServersAtMost);
-  CPPUNIT_TEST(ARefusalSaysWhetherItMayHaveRun);
-  CPPUNIT_TEST(AnotherBodyIsAnotherRequest);
-  CPPUNIT_TEST(WhatOthersKnowEndsWhatWaits);
-  CPPUNIT_TEST(AServerThatLivesOnIsNoReason);
+  CPPUNIT_TEST(RetriedRequestCrashesThreeServersAtMost);
+  CPPUNIT_TEST(StatusTellsWhetherTheRequestMayHaveRun);
+  CPPUNIT_TEST(RequestWithAnotherBodyIsNotBlocked);
+  CPPUNIT_TEST(ReportOfAnotherDaemonEndsAWaitingRequest);
+  CPPUNIT_TEST(BrokenConnectionsOfRunningServersDoNotBlock);
   CPPUNIT_TEST_SUITE_END();
 
   /// Blocks a request by a report of another daemon.
@@ -96,33 +96,33 @@
     line.request = Crashes::FingerprintOf({"", "POST", "shop.example", path, body});
     line.blocks = 1;
     line.blocked_for_ms = 600000;
-    world.dispatcher.TakeCrashCases({line});
+    world.dispatcher.MergeCrashCases({line});
   }
 
   /// A request that may have run gets a 502; once it is blocked, it is refused at once with a long
   /// Retry-After.
-  void ARefusalSaysWhetherItMayHaveRun()
+  void StatusTellsWhetherTheRequestMayHaveRun()
   {
     RelayWorld world;
-    Fleet fleet(world, 10);
+    CrashingServers crashing_servers(world, 10);
     for (int i = 0; i < 3; ++i)
       CPPUNIT_ASSERT_EQUAL(
           std::string("502"),
-          AskAndWait(world, ONCE_CRASHER, "crash-" + std::to_string(i)).substr(9, 3));
+          SendAndWait(world, ONCE_CRASHER, "crash-" + std::to_string(i)).substr(9, 3));
     CPPUNIT_ASSERT(RunUntil([&] {
       return world.dispatcher.CrashCases().Blocked(Common::Now()) == 1;
     }));
     const auto begin = Common::Now();
-    const std::string answer = AskAndWait(world, ONCE_CRASHER, "crash-4");
+    const std::string answer = SendAndWait(world, ONCE_CRASHER, "crash-4");
     CPPUNIT_ASSERT_EQUAL(std::string("503"), answer.substr(9, 3));
     CPPUNIT_ASSERT(Common::Now() - begin < Milliseconds(200));
     CPPUNIT_ASSERT(std::stod(HeaderOf(answer, "Retry-After")) > 500);
   }
 
-  void AnotherBodyIsAnotherRequest()
+  void RequestWithAnotherBodyIsNotBlocked()
   {
     RelayWorld world;
-    Fleet fleet(world, 1);
+    CrashingServers crashing_servers(world, 1);
     Block(world, HONEST, "blocked");
     world.Ask(HONEST, "id-1", "", "blocked");
     CPPUNIT_ASSERT(world.CallerGot("503"));
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT(world.CallerGot("whole"));
   }
 
-  void WhatOthersKnowEndsWhatWaits()
+  void ReportOfAnotherDaemonEndsAWaitingRequest()
   {
     RelayWorld world;
     world.Ask(HONEST, "id-1");
@@ -142,7 +142,7 @@
   }
 
   /// Servers that repeatedly reset connections but keep running do not get the request blocked.
-  void AServerThatLivesOnIsNoReason()
+  void BrokenConnectionsOfRunningServersDoNotBlock()
   {
     RelayWorld world;
     bool breaks = true;
@@ -158,21 +158,21 @@
       world.AddServer("i-" + std::to_string(i), servers.back().Address());
     }
     for (int i = 0; i < 4; ++i)
-      AskAndWait(world, HONEST, "id-" + std::to_string(i));
+      SendAndWait(world, HONEST, "id-" + std::to_string(i));
     RunFor(Milliseconds(1500));
     breaks = false;
-    CPPUNIT_ASSERT(AskAndWait(world, HONEST, "last").find("whole") != std::string::npos);
+    CPPUNIT_ASSERT(SendAndWait(world, HONEST, "last").find("whole") != std::string::npos);
   }
 
-  void ComesAgainAndEndsThreeServersAtMost()
+  void RetriedRequestCrashesThreeServersAtMost()
   {
     RelayWorld world;
-    Fleet fleet(world, 10);
+    CrashingServers crashing_servers(world, 10);
     for (int i = 0; i < 6; ++i)
-      AskAndWait(world, CRASHER, "crash-" + std::to_string(i));
-    CPPUNIT_ASSERT_EQUAL(3, fleet.ended);
-    CPPUNIT_ASSERT_EQUAL(3, fleet.crasher_arrivals);
-    CPPUNIT_ASSERT(AskAndWait(world, HONEST, "honest").find("whole") != std::string::npos);
+      SendAndWait(world, CRASHER, "crash-" + std::to_string(i));
+    CPPUNIT_ASSERT_EQUAL(3, crashing_servers.crashed);
+    CPPUNIT_ASSERT_EQUAL(3, crashing_servers.crasher_arrivals);
+    CPPUNIT_ASSERT(SendAndWait(world, HONEST, "honest").find("whole") != std::string::npos);
   }
 };
 
--- a/Source/UnitTests/Gateway/DrainingServersTest.cpp
+++ b/Source/UnitTests/Gateway/DrainingServersTest.cpp
@@ -155,12 +155,12 @@
     World world;
     world.AddServer("i-1", server.Address());
     const RateLimits::ServerKey key = world.dispatcher.Servers().Find(FIRST)->Key();
-    world.dispatcher.TakeDrainNews(1, std::vector{key});
+    world.dispatcher.ApplyDrainUpdate(1, std::vector{key});
     CPPUNIT_ASSERT(world.dispatcher.Servers().Find(FIRST)->IsDraining());
     world.Ask(PLAIN_PATH, "id-1");
     CPPUNIT_ASSERT(world.CallerGot("200 OK"));
     CPPUNIT_ASSERT(!world.dispatcher.Servers().Find(FIRST)->IsDraining());
-    world.dispatcher.TakeDrainNews(1, std::vector{key});
+    world.dispatcher.ApplyDrainUpdate(1, std::vector{key});
     CPPUNIT_ASSERT(!world.dispatcher.Servers().Find(FIRST)->IsDraining());
   }
 };
--- a/Source/UnitTests/Gateway/PartsTest.cpp
+++ b/Source/UnitTests/Gateway/PartsTest.cpp
@@ -20,17 +20,17 @@
 class GatewayPartsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayPartsTest);
-  CPPUNIT_TEST(EventsAreCutOnlyAtTheirEnd);
-  CPPUNIT_TEST(KnownEventsAreLeftOut);
-  CPPUNIT_TEST(TheBudgetFollowsOwnRequestsAndTheSharedSlack);
-  CPPUNIT_TEST(AFailingServerIsEjectedAndTriedWithOneRequest);
+  CPPUNIT_TEST(EventsAreSplitOnlyAtTheirEnd);
+  CPPUNIT_TEST(AlreadySentEventsAreSkipped);
+  CPPUNIT_TEST(BudgetCountsOwnRequestsAndAShareOfTheSlack);
+  CPPUNIT_TEST(FailingServerIsEjectedAndThenProbedWithOneRequest);
   CPPUNIT_TEST(TheLongestPrefixOfTheHostWins);
-  CPPUNIT_TEST(ALapsedEntryWaitsOutTheGrace);
-  CPPUNIT_TEST(ARemovalInCalmTimesHoldsAtOnce);
-  CPPUNIT_TEST(ADrainingServerGoesWithoutGrace);
+  CPPUNIT_TEST(LapsedEntryIsRemovedAfterTheGracePeriod);
+  CPPUNIT_TEST(RemovalIsImmediateWhileTheSourceIsConnected);
+  CPPUNIT_TEST(DrainingServerIsRemovedWithoutGracePeriod);
   CPPUNIT_TEST_SUITE_END();
 
-  void EventsAreCutOnlyAtTheirEnd()
+  void EventsAreSplitOnlyAtTheirEnd()
   {
     EventSplitter splitter;
     CPPUNIT_ASSERT_EQUAL(std::string(""), splitter.Feed("id: 1\ndata: a\n"));
@@ -40,7 +40,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("id: 2\nx\r\n\r\n"), splitter.Feed("x\r\n\r\n"));
   }
 
-  void KnownEventsAreLeftOut()
+  void AlreadySentEventsAreSkipped()
   {
     EventSplitter splitter;
     splitter.StartAfter(5);
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("data: x\n\n"), splitter.Feed("data: x\n\n"));
   }
 
-  void TheBudgetFollowsOwnRequestsAndTheSharedSlack()
+  void BudgetCountsOwnRequestsAndAShareOfTheSlack()
   {
     RetryBudget budget;
     budget.Configure({0.2, 40, Milliseconds(10000)});
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT(budget.Take(pool, now + Milliseconds(10001)));
   }
 
-  void AFailingServerIsEjectedAndTriedWithOneRequest()
+  void FailingServerIsEjectedAndThenProbedWithOneRequest()
   {
     ServerHealth health;
     auto now = Common::Now();
@@ -114,7 +114,7 @@
     return entry;
   }
 
-  void ALapsedEntryWaitsOutTheGrace()
+  void LapsedEntryIsRemovedAfterTheGracePeriod()
   {
     ServerDirectory directory;
     ServerRoster roster(directory);
@@ -132,7 +132,7 @@
     CPPUNIT_ASSERT(directory.Find(InstanceId("i-1")) != nullptr);
   }
 
-  void ARemovalInCalmTimesHoldsAtOnce()
+  void RemovalIsImmediateWhileTheSourceIsConnected()
   {
     ServerDirectory directory;
     ServerRoster roster(directory);
@@ -141,7 +141,7 @@
     CPPUNIT_ASSERT(directory.Empty());
   }
 
-  void ADrainingServerGoesWithoutGrace()
+  void DrainingServerIsRemovedWithoutGracePeriod()
   {
     ServerDirectory directory;
     ServerRoster roster(directory);
--- a/Source/UnitTests/Gateway/RelayTest.cpp
+++ b/Source/UnitTests/Gateway/RelayTest.cpp
@@ -38,28 +38,28 @@
   CPPUNIT_TEST(UnknownPathIs404);
   CPPUNIT_TEST(RefusesWithoutConfiguration);
   CPPUNIT_TEST(SkipsAnAnswerToAnotherRequest);
-  CPPUNIT_TEST(BytesBehindAnAnswerBelongToNobody);
-  CPPUNIT_TEST(ABrokenAnswerToARepeatableRequestIsTriedElsewhere);
-  CPPUNIT_TEST(ABrokenAnswerToAnUnrepeatableRequestIsNeverRepeated);
-  CPPUNIT_TEST(ARejectionOfAnUnrepeatableRequestIsRefusedTruthfully);
-  CPPUNIT_TEST(AnUnsignedSuccessIsNotPassedOn);
-  CPPUNIT_TEST(AServersOwn503IsNotPassedOnAsAPromise);
-  CPPUNIT_TEST(AnEarlyAnswerEndsTheConnectionToTheServer);
-  CPPUNIT_TEST(AStreamGoesOnAtAnotherServer);
-  CPPUNIT_TEST(AStreamThatMayNotBeResumedBreaksTheCallersConnection);
-  CPPUNIT_TEST(ACutEventIsNotPassedOn);
-  CPPUNIT_TEST(AStreamOfAServerThatIsGoneEnds);
-  CPPUNIT_TEST(AStreamOfAnEarlierLifeEndsAndIsNotRunAgain);
-  CPPUNIT_TEST(ASilentStreamOfAListedServerIsLeftAlone);
-  CPPUNIT_TEST(ACallerThatLeavesCancels);
-  CPPUNIT_TEST(HandsOnTheTimeThatIsLeft);
+  CPPUNIT_TEST(BytesAfterAResponseAreDiscarded);
+  CPPUNIT_TEST(RepeatableRequestIsRetriedAfterABrokenResponse);
+  CPPUNIT_TEST(UnrepeatableRequestIsNotRetriedAfterABrokenResponse);
+  CPPUNIT_TEST(RejectedUnrepeatableRequestIsAnsweredWith503);
+  CPPUNIT_TEST(UnsignedSuccessIsNotForwarded);
+  CPPUNIT_TEST(Unconfirmed503IsAnsweredWith502);
+  CPPUNIT_TEST(EarlyResponseClosesTheServerConnection);
+  CPPUNIT_TEST(StreamIsResumedAtAnotherServer);
+  CPPUNIT_TEST(BrokenUnresumableStreamClosesTheCallerConnection);
+  CPPUNIT_TEST(IncompleteEventIsNotForwarded);
+  CPPUNIT_TEST(SilentStreamOfAnUnlistedServerEnds);
+  CPPUNIT_TEST(StreamOfARestartedServerEndsAndIsNotRetried);
+  CPPUNIT_TEST(SilentStreamOfAListedServerContinues);
+  CPPUNIT_TEST(CallerDisconnectCancelsTheRequest);
+  CPPUNIT_TEST(ForwardsTheRemainingTime);
   CPPUNIT_TEST(AnswersAtTheDeadline);
-  CPPUNIT_TEST(AnotherProcessAtTheAddressIsNoServer);
-  CPPUNIT_TEST(AnUnreachableServerCostsNoArrival);
-  CPPUNIT_TEST(WhatTheWeightStoreBringsTooLateIsRefusedAtOnce);
-  CPPUNIT_TEST(WhatLiesOnADiskIsWaitedFor);
-  CPPUNIT_TEST(OnlyStreamsHaveAnImpatientCaller);
-  CPPUNIT_TEST(StopAnnouncesTheClose);
+  CPPUNIT_TEST(ServerIsNotUsedAfterAnotherProcessResponds);
+  CPPUNIT_TEST(UnreachableServerDoesNotCountAsAnAttempt);
+  CPPUNIT_TEST(RequestIsRefusedAtOnceIfTheLoadWouldBeTooLate);
+  CPPUNIT_TEST(RequestWaitsForALoadFromDisk);
+  CPPUNIT_TEST(NonStreamingRequestWaitsForASlowLoad);
+  CPPUNIT_TEST(ResponsesAnnounceTheCloseDuringShutdown);
   CPPUNIT_TEST_SUITE_END();
 
   /// Guards against a long wait before a refusal: 352 of 438 bulk requests were refused after 5.6
@@ -67,7 +67,7 @@
   /// weight store; a load takes 13.2 s, but callers disconnect after 2 to 8 s without data.
   /// Immediate refusal raised the share of what callers are owed by 0.096 +- 0.010 (twelve pairs,
   /// 22 servers, 1,375 models).
-  void WhatTheWeightStoreBringsTooLateIsRefusedAtOnce()
+  void RequestIsRefusedAtOnceIfTheLoadWouldBeTooLate()
   {
     World world;
     world.ServeModel(Milliseconds(13200));
@@ -85,7 +85,7 @@
     CPPUNIT_ASSERT_EQUAL(1, world.dispatcher.TakeDemand().at(0).waiting);
   }
 
-  void WhatLiesOnADiskIsWaitedFor()
+  void RequestWaitsForALoadFromDisk()
   {
     World world;
     world.ServeModel(Milliseconds(13200));
@@ -98,7 +98,7 @@
 
   /// A caller disconnects from a silent stream, but waits for a complete response until its
   /// deadline. A load of 5 s fits into a deadline of 8 s, but not into the 2 s of a stream.
-  void OnlyStreamsHaveAnImpatientCaller()
+  void NonStreamingRequestWaitsForASlowLoad()
   {
     World world;
     world.ServeModel(Milliseconds(5000));
@@ -171,7 +171,7 @@
     CPPUNIT_ASSERT(world.caller.received.find("wrong") == std::string::npos);
   }
 
-  void BytesBehindAnAnswerBelongToNobody()
+  void BytesAfterAResponseAreDiscarded()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(Answer(head, "one") + Answer(head, "two"));
@@ -186,7 +186,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), server.peers.size());
   }
 
-  void ABrokenAnswerToARepeatableRequestIsTriedElsewhere()
+  void RepeatableRequestIsRetriedAfterABrokenResponse()
   {
     TestServer broken([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(Answer(head, "whole").substr(0, 60));
@@ -211,7 +211,7 @@
     CPPUNIT_ASSERT(!broken.requests.empty());
   }
 
-  void ABrokenAnswerToAnUnrepeatableRequestIsNeverRepeated()
+  void UnrepeatableRequestIsNotRetriedAfterABrokenResponse()
   {
     const auto cut = [](TestPeer& peer, const std::string&) {
       peer.stream->Reset();
@@ -227,7 +227,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), first.requests.size() + second.requests.size());
   }
 
-  void ARejectionOfAnUnrepeatableRequestIsRefusedTruthfully()
+  void RejectedUnrepeatableRequestIsAnsweredWith503()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write("HTTP/1.1 503 Busy\r\nReq-Id: " + HeaderOf(head, "Req-Id") +
@@ -240,7 +240,7 @@
     CPPUNIT_ASSERT(!HeaderOf(world.caller.received, "Retry-After").empty());
   }
 
-  void AnUnsignedSuccessIsNotPassedOn()
+  void UnsignedSuccessIsNotForwarded()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write("HTTP/1.1 200 OK\r\nReq-Id: " + HeaderOf(head, "Req-Id") +
@@ -253,7 +253,7 @@
     CPPUNIT_ASSERT(world.caller.received.find("fake") == std::string::npos);
   }
 
-  void AServersOwn503IsNotPassedOnAsAPromise()
+  void Unconfirmed503IsAnsweredWith502()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write("HTTP/1.1 503 Oops\r\nReq-Id: " + HeaderOf(head, "Req-Id") +
@@ -266,7 +266,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string(""), HeaderOf(world.caller.received, "Signed"));
   }
 
-  void AnEarlyAnswerEndsTheConnectionToTheServer()
+  void EarlyResponseClosesTheServerConnection()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->SetReading(false);
@@ -283,7 +283,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), server.peers.size());
   }
 
-  void AStreamGoesOnAtAnotherServer()
+  void StreamIsResumedAtAnotherServer()
   {
     int calls = 0;
     const auto serve = [&](TestPeer& peer, const std::string& head) {
@@ -313,7 +313,7 @@
     CPPUNIT_ASSERT_EQUAL(2, calls);
   }
 
-  void AStreamThatMayNotBeResumedBreaksTheCallersConnection()
+  void BrokenUnresumableStreamClosesTheCallerConnection()
   {
     const auto serve = [](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1)));
@@ -334,7 +334,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), first.requests.size() + second.requests.size());
   }
 
-  void ACutEventIsNotPassedOn()
+  void IncompleteEventIsNotForwarded()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1) + "id: 2\ndata: ha"));
@@ -352,7 +352,7 @@
     CPPUNIT_ASSERT(world.caller.received.find("id: 2") == std::string::npos);
   }
 
-  void AStreamOfAServerThatIsGoneEnds()
+  void SilentStreamOfAnUnlistedServerEnds()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1)));
@@ -373,7 +373,7 @@
 
   /// The server restarts under its id while the network is cut, so that the stream's connection
   /// hangs.
-  void AStreamOfAnEarlierLifeEndsAndIsNotRunAgain()
+  void StreamOfARestartedServerEndsAndIsNotRetried()
   {
     int requests = 0;
     TestServer server([&](TestPeer& peer, const std::string& head) {
@@ -397,7 +397,7 @@
     CPPUNIT_ASSERT_EQUAL(1, requests);
   }
 
-  void ASilentStreamOfAListedServerIsLeftAlone()
+  void SilentStreamOfAListedServerContinues()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1)));
@@ -410,7 +410,7 @@
     CPPUNIT_ASSERT(!world.caller.ended);
   }
 
-  void ACallerThatLeavesCancels()
+  void CallerDisconnectCancelsTheRequest()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1)));
@@ -428,7 +428,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(0), world.dispatcher.OpenRequests());
   }
 
-  void HandsOnTheTimeThatIsLeft()
+  void ForwardsTheRemainingTime()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(Answer(head, "x"));
@@ -455,34 +455,34 @@
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(600));
   }
 
-  void AnotherProcessAtTheAddressIsNoServer()
+  void ServerIsNotUsedAfterAnotherProcessResponds()
   {
-    TestServer stranger([](TestPeer& peer, const std::string& head) {
+    TestServer other_process([](TestPeer& peer, const std::string& head) {
       peer.stream->Write("HTTP/1.1 421 No\r\nReq-Id: " + HeaderOf(head, "Req-Id") +
                          "\r\nInstance: i-7\r\nContent-Length: 0\r\n\r\n");
     });
     World world;
-    world.AddServer("i-1", stranger.Address());
+    world.AddServer("i-1", other_process.Address());
     world.Ask(ONCE_PATH, "id-1");
     CPPUNIT_ASSERT(world.CallerGot("HTTP/1.1 503 "));
     world.caller.received.clear();
     world.Ask(ONCE_PATH, "id-2", "Left-Ms: 300\r\n");
     CPPUNIT_ASSERT(world.CallerGot("HTTP/1.1 503 "));
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), stranger.requests.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), other_process.requests.size());
   }
 
-  void AnUnreachableServerCostsNoArrival()
+  void UnreachableServerDoesNotCountAsAnAttempt()
   {
     TestServer sound([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(Answer(head, "whole"));
     });
-    Http::Endpoint nobody;
+    Http::Endpoint unreachable;
     {
       TestServer closed([](TestPeer&, const std::string&) {});
-      nobody = closed.Address();
+      unreachable = closed.Address();
     }
     World world;
-    world.AddServer("i-1", nobody);
+    world.AddServer("i-1", unreachable);
     world.AddServer("i-2", sound.Address());
     for (int i = 0; i < 4; ++i)
     {
@@ -492,7 +492,7 @@
     }
   }
 
-  void StopAnnouncesTheClose()
+  void ResponsesAnnounceTheCloseDuringShutdown()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(Answer(head, "x"));
--- a/Source/UnitTests/Http/ClientTest.cpp
+++ b/Source/UnitTests/Http/ClientTest.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 using Common::Milliseconds;
-using UnitTests::PacedServer;
 using UnitTests::RunUntil;
+using UnitTests::ThrottledServer;
 using Outcome = std::optional<Common::Result<Http::Response>>;
 
 Common::Task<void> Fetch(Http::Client& client, Http::Request request, Outcome& outcome)
@@ -27,7 +27,7 @@
   CPPUNIT_TEST(APeerThatFallsSilentWithinAnAnswerIsGivenUp);
   CPPUNIT_TEST_SUITE_END();
 
-  static Http::Request RequestTo(const PacedServer& server)
+  static Http::Request RequestTo(const ThrottledServer& server)
   {
     Http::Request request;
     request.url = "http://" + server.Address().ToString() + "/v1/list?prefix=claims";
@@ -40,7 +40,7 @@
   /// Cause: the time of a call was counted to the end of its answer.
   void ALongAnswerComesOverAWeakLink()
   {
-    PacedServer server(std::string(800'000, 'x'));
+    ThrottledServer server(std::string(800'000, 'x'));
     Http::Client client;
     Outcome outcome;
     Common::Spawn(Fetch(client, RequestTo(server), outcome));
@@ -53,8 +53,8 @@
 
   void APeerThatFallsSilentWithinAnAnswerIsGivenUp()
   {
-    PacedServer server(std::string(800'000, 'x'));
-    server.FallSilentAfter(100'000);
+    ThrottledServer server(std::string(800'000, 'x'));
+    server.StopSendingAfter(100'000);
     Http::Client client;
     Outcome outcome;
     Common::Spawn(Fetch(client, RequestTo(server), outcome));
--- a/Source/UnitTests/Orders/CrashArchiveTest.cpp
+++ b/Source/UnitTests/Orders/CrashArchiveTest.cpp
@@ -58,7 +58,7 @@
                      (9 - server) * 1000,
                      (9 - server) * 1000 + 300,
                      {Common::VmId("vm")}}};
-    dispatcher.TakeCrashCases({line});
+    dispatcher.MergeCrashCases({line});
   }
   bool IsBlocked() { return dispatcher.CrashCases().Judge(CRASHER, Common::Now()).blocked; }
 
--- a/Source/UnitTests/Orders/HubTest.cpp
+++ b/Source/UnitTests/Orders/HubTest.cpp
@@ -246,9 +246,9 @@
   {
     daemon.AddServers(server + 1, false);
     const auto found = daemon.dispatcher.Servers().Find(InstanceOf(server));
-    daemon.dispatcher.Ends().NoteBroken(found,
-                                        {CRASHER, Common::Now(), std::nullopt, std::nullopt});
-    daemon.dispatcher.Ends().NoteRefused(found);
+    daemon.dispatcher.GetCrashDetector().NoteBroken(
+        found, {CRASHER, Common::Now(), std::nullopt, std::nullopt});
+    daemon.dispatcher.GetCrashDetector().NoteRefused(found);
     RunFor(Milliseconds(5));
   }
   static bool IsBlocked(Daemon& daemon)
--- a/Source/UnitTests/Orders/LeaseKeeperTest.cpp
+++ b/Source/UnitTests/Orders/LeaseKeeperTest.cpp
@@ -66,7 +66,7 @@
   int calls = 0;
 
 private:
-  UnitTests::SoonCaller m_soon;
+  UnitTests::DeferredCaller m_soon;
 };
 
 using Keeper = LeaseKeeper<FakeStore>;
--- a/Source/UnitTests/Orders/OrderDeskTest.cpp
+++ b/Source/UnitTests/Orders/OrderDeskTest.cpp
@@ -114,7 +114,7 @@
   OrderDesk desk;
 
 private:
-  UnitTests::SoonCaller m_soon;
+  UnitTests::DeferredCaller m_soon;
   std::uint64_t m_sequence = 0;
 };
 
--- a/Source/UnitTests/Orders/ServerBackoffTest.cpp
+++ b/Source/UnitTests/Orders/ServerBackoffTest.cpp
@@ -35,8 +35,9 @@
     fleet.servers[0]->Reject("2");
     fleet.servers[1]->Reject("1.5");
     RunFor(Milliseconds(5000));
-    const auto worst = std::max(fleet.servers[0]->WorstBackoff(VMS, Milliseconds(2000), LEEWAY),
-                                fleet.servers[1]->WorstBackoff(VMS, Milliseconds(1500), LEEWAY));
+    const auto worst =
+        std::max(fleet.servers[0]->MaxSentDuringBackoff(VMS, Milliseconds(2000), LEEWAY),
+                 fleet.servers[1]->MaxSentDuringBackoff(VMS, Milliseconds(1500), LEEWAY));
     CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst <= ALLOWED);
     // The other servers have enough capacity, and both servers get requests again soon afterwards.
     fleet.servers[0]->Accept();
--- a/Source/UnitTests/Orders/ServerLimitTest.cpp
+++ b/Source/UnitTests/Orders/ServerLimitTest.cpp
@@ -174,7 +174,7 @@
     fleet.StartLoad(40);
     RunFor(Milliseconds(1000));
     CPPUNIT_ASSERT(fleet.vms[0]->dispatcher.Limited().All().empty());
-    CPPUNIT_ASSERT(fleet.vms[0]->dispatcher.Limited().UnreadableAnswers() > 0);
+    CPPUNIT_ASSERT(fleet.vms[0]->dispatcher.Limited().UnreadableLimits() > 0);
     CPPUNIT_ASSERT(fleet.served >= 30);
     // The lower of two limits applies, as neither exceeds what the server accepts.
     fleet.SetLimits("2\r\nLimit: 1");
--- a/Source/UnitTests/Orders/TableFollowerTest.cpp
+++ b/Source/UnitTests/Orders/TableFollowerTest.cpp
@@ -94,7 +94,7 @@
   int follows = 0;
 
 private:
-  UnitTests::SoonCaller m_soon;
+  UnitTests::DeferredCaller m_soon;
 };
 
 class TableFollowerTest : public CppUnit::TestFixture
--- a/Source/UnitTests/Platform/StoreClientTest.cpp
+++ b/Source/UnitTests/Platform/StoreClientTest.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 using Common::Milliseconds;
-using UnitTests::PacedServer;
 using UnitTests::RunUntil;
+using UnitTests::ThrottledServer;
 
 /// The answer of a store with one row of so many bytes.
 std::string OneRow(std::size_t value_bytes)
@@ -40,7 +40,7 @@
 
   void ALargeChangeComesOverAWeakLink()
   {
-    PacedServer store(OneRow(1073'000));
+    ThrottledServer store(OneRow(1073'000));
     PlatformFace::StoreClient client(store.Address());
     std::optional<Common::Result<Orders::TableRows>> changes;
     client.Follow("op", 6, Milliseconds(0), [&](Common::Result<Orders::TableRows> answer) {
@@ -56,7 +56,7 @@
 
   void ALargeTableComesOverAWeakLink()
   {
-    PacedServer store(OneRow(2400'000));
+    ThrottledServer store(OneRow(2400'000));
     PlatformFace::StoreClient client(store.Address());
     std::optional<Common::Result<Orders::TableRows>> rows;
     client.Read("op", "", [&](Common::Result<Orders::TableRows> answer) {
@@ -72,8 +72,8 @@
   /// A cut must still show within the time that a daemon has for its view to be current.
   void AStoreThatFallsSilentWithinAnAnswerIsGivenUp()
   {
-    PacedServer store(OneRow(1073'000));
-    store.FallSilentAfter(100'000);
+    ThrottledServer store(OneRow(1073'000));
+    store.StopSendingAfter(100'000);
     PlatformFace::StoreClient client(store.Address());
     std::optional<Common::Result<Orders::TableRows>> changes;
     client.Follow("op", 6, Milliseconds(2500), [&](Common::Result<Orders::TableRows> answer) {
--- a/Source/UnitTests/Support/LimitedFleet.cpp
+++ b/Source/UnitTests/Support/LimitedFleet.cpp
@@ -14,7 +14,7 @@
 constexpr Http::Patience CALLER_PATIENCE{Milliseconds(3000), Milliseconds(3000)};
 
 /// Refusals within this time count as immediate: a waiting request is retried only after 40 ms.
-constexpr Milliseconds AT_ONCE{30};
+constexpr Milliseconds MAX_IMMEDIATE_REFUSAL{30};
 
 std::shared_ptr<const Configuration> OnePlainRoute()
 {
@@ -69,19 +69,19 @@
   }));
 }
 
-std::size_t LimitedServer::WorstBackoff(std::size_t vms, Milliseconds span,
-                                        Milliseconds leeway) const
+std::size_t LimitedServer::MaxSentDuringBackoff(std::size_t vms, Milliseconds span,
+                                                Milliseconds leeway) const
 {
   std::size_t worst = 0;
   for (const Arrival& rejected : m_arrivals)
   {
     if (!rejected.rejected)
       continue;
-    const auto in_time = std::ranges::count_if(m_arrivals, [&](const Arrival& a) {
+    const auto in_backoff = std::ranges::count_if(m_arrivals, [&](const Arrival& a) {
       return a.number % vms == rejected.number % vms && a.at > rejected.at + leeway &&
              a.at < rejected.at + span;
     });
-    worst = std::max(worst, static_cast<std::size_t>(in_time));
+    worst = std::max(worst, static_cast<std::size_t>(in_backoff));
   }
   return worst;
 }
@@ -198,7 +198,7 @@
     else if (status == 503 || status == 429)
     {
       ++refused;
-      refused_late += Common::Now() - asked_at > AT_ONCE ? 1 : 0;
+      refused_late += Common::Now() - asked_at > MAX_IMMEDIATE_REFUSAL ? 1 : 0;
     }
     else
       ++failed;
--- a/Source/UnitTests/Support/LimitedFleet.h
+++ b/Source/UnitTests/Support/LimitedFleet.h
@@ -40,8 +40,8 @@
   std::size_t ArrivalsOf(std::size_t vm, std::size_t vms, Common::TimePoint from) const;
   /// The most requests that one daemon sent during one Retry-After of `span`, not counting those in
   /// the first `leeway` after the rejection.
-  std::size_t WorstBackoff(std::size_t vms, Common::Milliseconds span,
-                           Common::Milliseconds leeway) const;
+  std::size_t MaxSentDuringBackoff(std::size_t vms, Common::Milliseconds span,
+                                   Common::Milliseconds leeway) const;
   /// When the daemon was first sent a response that announces that the server drains.
   std::optional<Common::TimePoint> AnnouncedTo(std::size_t vm, std::size_t vms) const;
   std::size_t Arrivals() const { return m_arrivals.size(); }
--- a/Source/UnitTests/Support/Loopback.h
+++ b/Source/UnitTests/Support/Loopback.h
@@ -46,7 +46,7 @@
 }
 
 /// Calls a function after 1 ms, unless this object has been destroyed by then.
-class SoonCaller
+class DeferredCaller
 {
 public:
   void Call(std::function<void()> callback) const
@@ -131,10 +131,10 @@
 };
 
 /// Answers every request with the same body, sent at the speed of a 10 Mbit/s link.
-class PacedServer
+class ThrottledServer
 {
 public:
-  explicit PacedServer(const std::string& body)
+  explicit ThrottledServer(const std::string& body)
       : m_answer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" +
                  body),
         m_server([this](TestPeer& peer, const std::string&) {
@@ -146,7 +146,7 @@
   Http::Endpoint Address() const { return m_server.Address(); }
   std::size_t Calls() const { return m_server.requests.size(); }
   /// Stops sending each response after its first `bytes` bytes.
-  void FallSilentAfter(std::size_t bytes) { m_limit = bytes; }
+  void StopSendingAfter(std::size_t bytes) { m_limit = bytes; }
 
 private:
   static constexpr std::size_t BYTES_PER_MS = 1250;
