--- a/Models/ServerDrain.pml
+++ b/Models/ServerDrain.pml
@@ -2,7 +2,7 @@
  * SPDX-License-Identifier: Apache-2.0
  *
  * A server announces its end in its answers while its entry goes on calling it ready. Stands for
- * Source/Core/Gateway/DrainState.cpp, DrainBook.cpp and the conditions that ServerDirectory keeps.
+ * Source/Core/Gateway/DrainState.cpp, DrainRegistry.cpp and the conditions that ServerDirectory keeps.
  *
  * A daemon that has passed such an answer on may send to the server for GRACE more ticks what no other server takes;
  * a request reaches the server within a tick. The entry may lapse and come again, as ready, at any moment. Daemons tell
--- a/Source/Core/Crashes/CrashCase.h
+++ b/Source/Core/Crashes/CrashCase.h
@@ -15,12 +15,12 @@
 namespace Crashes
 {
 /// Identifies one incarnation of a backend server's process.
-using ServerLife = Common::StrongId<struct ServerLifeTag>;
+using ServerInstance = Common::StrongId<struct ServerInstanceTag>;
 
 /// A server process that exited while it processed the request.
-struct EndingLine
+struct CrashLine
 {
-  ServerLife server;
+  ServerInstance server;
   std::int64_t age_ms = 0;
   std::int64_t sent_age_ms = 0;      ///< Since the request was sent to the server.
   std::vector<Common::VmId> seen_by; ///< Some of the VMs that observed the exit.
@@ -36,18 +36,18 @@
 struct CaseLine
 {
   Fingerprint request;
-  std::vector<EndingLine> endings;
-  std::int64_t survived_age_ms = -1; ///< Since its last successful completion; -1 if none.
-  std::int64_t blocked_for_ms = 0;   ///< Remaining time of the block; 0 if it is not blocked.
-  std::int32_t blocks = 0;           ///< How often it has been blocked.
+  std::vector<CrashLine> server_crashes;
+  std::int64_t last_success_age_ms = -1; ///< Since its last successful completion; -1 if none.
+  std::int64_t blocked_for_ms = 0;       ///< Remaining time of the block; 0 if it is not blocked.
+  std::int32_t blocks = 0;               ///< How often it has been blocked.
 
   template <typename Archive>
   void serialize(Archive& archive)
   {
-    archive(request, endings, survived_age_ms, blocked_for_ms, blocks);
+    archive(request, server_crashes, last_success_age_ms, blocked_for_ms, blocks);
   }
 };
 
 /// Formats the list for logs: "SERVER AGE ms ago, seen by VM VM; ...".
-std::string Describe(const std::vector<EndingLine>& endings);
+std::string Describe(const std::vector<CrashLine>& server_crashes);
 } // namespace Crashes
--- a/Source/Core/Crashes/CrashLedger.cpp
+++ b/Source/Core/Crashes/CrashLedger.cpp
@@ -16,10 +16,10 @@
 using Common::TimePoint;
 
 /// Maximum VMs recorded as observers of one exit.
-constexpr std::size_t MAX_WITNESSES = 4;
+constexpr std::size_t MAX_SEEN_BY = 4;
 /// Maximum exits recorded per request. Three block it, and a few more may follow before all daemons
 /// apply the block.
-constexpr std::size_t MAX_ENDINGS = 16;
+constexpr std::size_t MAX_CRASHES = 16;
 /// Number of doublings after which the longest block is reached.
 constexpr int MAX_DOUBLINGS = 6;
 /// Interval at which old cases are removed.
@@ -27,7 +27,7 @@
 /// Upper bounds for the encoded size of a case without its exits, and of one exit without its
 /// names.
 constexpr std::size_t CASE_BYTES = 64;
-constexpr std::size_t ENDING_BYTES = 30;
+constexpr std::size_t SERVER_CRASH_BYTES = 30;
 
 std::int64_t AgeOf(TimePoint moment, TimePoint now)
 {
@@ -37,30 +37,30 @@
 std::size_t BytesOf(const CaseLine& line)
 {
   std::size_t bytes = CASE_BYTES;
-  for (const EndingLine& ending : line.endings)
+  for (const CrashLine& crash : line.server_crashes)
   {
-    bytes += ENDING_BYTES + ending.server.Get().size();
-    for (const Common::VmId& vm : ending.seen_by)
+    bytes += SERVER_CRASH_BYTES + crash.server.Get().size();
+    for (const Common::VmId& vm : crash.seen_by)
       bytes += vm.Get().size() + 2;
   }
   return bytes;
 }
 } // namespace
 
-std::string Describe(const std::vector<EndingLine>& endings)
+std::string Describe(const std::vector<CrashLine>& server_crashes)
 {
   std::string text;
-  for (const EndingLine& ending : endings)
+  for (const CrashLine& crash : server_crashes)
   {
     text += text.empty() ? "" : "; ";
-    text += ending.server.Get() + " " + std::to_string(ending.age_ms) + " ms ago, seen by";
-    for (const Common::VmId& vm : ending.seen_by)
+    text += crash.server.Get() + " " + std::to_string(crash.age_ms) + " ms ago, seen by";
+    for (const Common::VmId& vm : crash.seen_by)
       text += " " + vm.Get();
   }
   return text;
 }
 
-CrashLedger::Case& CrashLedger::Open(const Fingerprint& request)
+CrashLedger::Case& CrashLedger::FindOrCreate(const Fingerprint& request)
 {
   const auto [found, is_new] = m_cases.try_emplace(request);
   if (is_new)
@@ -68,116 +68,117 @@
   return found->second;
 }
 
-void CrashLedger::Touch(Case& entry, TimePoint now)
+void CrashLedger::MarkChanged(Case& entry, TimePoint now)
 {
   entry.changed_at = now;
   entry.revision = ++m_revision;
 }
 
-bool CrashLedger::AddEnding(Case& entry, const ServerLife& server, const Ending& ending)
+bool CrashLedger::AddCrash(Case& entry, const ServerInstance& server, const CrashRecord& crash)
 {
-  if (entry.survived_at && ending.at <= *entry.survived_at + TRUSTED_FOR)
+  if (entry.last_success && crash.at <= *entry.last_success + SUCCESS_GRACE)
     return false;
-  if (entry.endings.size() >= MAX_ENDINGS && !entry.endings.contains(server))
+  if (entry.server_crashes.size() >= MAX_CRASHES && !entry.server_crashes.contains(server))
     return false;
-  const auto [found, is_new] = entry.endings.try_emplace(server, ending);
-  found->second.at = std::min(found->second.at, ending.at);
-  found->second.sent_at = std::min(found->second.sent_at, ending.sent_at);
+  const auto [found, is_new] = entry.server_crashes.try_emplace(server, crash);
+  found->second.at = std::min(found->second.at, crash.at);
+  found->second.sent_at = std::min(found->second.sent_at, crash.sent_at);
   return is_new;
 }
 
-void CrashLedger::NoteEnding(const Fingerprint& request, const ServerLife& server,
-                             const Common::VmId& seen_by, TimePoint sent_at, TimePoint ended_at,
-                             std::optional<TimePoint> survived_at)
+void CrashLedger::RecordCrash(const Fingerprint& request, const ServerInstance& server,
+                              const Common::VmId& seen_by, TimePoint sent_at, TimePoint ended_at,
+                              std::optional<TimePoint> last_success)
 {
-  if (survived_at && ended_at - *survived_at <= TRUSTED_FOR)
+  if (last_success && ended_at - *last_success <= SUCCESS_GRACE)
     return;
   Prune(ended_at);
-  Case& entry = Open(request);
-  if (survived_at)
-    entry.survived_at = std::max(entry.survived_at.value_or(*survived_at), *survived_at);
-  AddEnding(entry, server, {ended_at, sent_at, {}});
-  const auto ending = entry.endings.find(server);
-  if (ending != entry.endings.end() && ending->second.seen_by.size() < MAX_WITNESSES)
-    ending->second.seen_by.insert(seen_by);
-  Touch(entry, ended_at);
+  Case& entry = FindOrCreate(request);
+  if (last_success)
+    entry.last_success = std::max(entry.last_success.value_or(*last_success), *last_success);
+  AddCrash(entry, server, {ended_at, sent_at, {}});
+  const auto crash = entry.server_crashes.find(server);
+  if (crash != entry.server_crashes.end() && crash->second.seen_by.size() < MAX_SEEN_BY)
+    crash->second.seen_by.insert(seen_by);
+  MarkChanged(entry, ended_at);
   entry.own_revision = entry.revision;
   m_own_revision = entry.revision;
   BlockIfDue(request, ended_at);
 }
 
-void CrashLedger::NoteSurvival(const Fingerprint& request, TimePoint now)
+void CrashLedger::NoteRequestSuccess(const Fingerprint& request, TimePoint now)
 {
   // Each recorded completion is sent to the other daemons; more frequent ones add no information.
-  constexpr Milliseconds REPEAT_AFTER = CrashLedger::TRUSTED_FOR / 3;
+  constexpr Milliseconds REPEAT_AFTER = CrashLedger::SUCCESS_GRACE / 3;
   const auto found = m_cases.find(request);
   if (found == m_cases.end())
     return;
   const Case& known = found->second;
-  if (known.endings.empty() && known.survived_at && now - *known.survived_at < REPEAT_AFTER)
+  if (known.server_crashes.empty() && known.last_success &&
+      now - *known.last_success < REPEAT_AFTER)
     return;
   Clear(found->second, now);
-  Touch(found->second, now);
+  MarkChanged(found->second, now);
   found->second.own_revision = found->second.revision;
   m_own_revision = found->second.revision;
 }
 
-void CrashLedger::NoteEarlierSurvival(const Fingerprint& request, TimePoint survived_at,
-                                      TimePoint now)
+void CrashLedger::NoteEarlierSuccess(const Fingerprint& request, TimePoint last_success,
+                                     TimePoint now)
 {
   const auto found = m_cases.find(request);
   if (found == m_cases.end())
     return;
   Case& entry = found->second;
-  if (entry.survived_at && survived_at <= *entry.survived_at + TRUSTED_FOR / 3)
+  if (entry.last_success && last_success <= *entry.last_success + SUCCESS_GRACE / 3)
     return;
-  Clear(entry, survived_at);
-  Touch(entry, now);
+  Clear(entry, last_success);
+  MarkChanged(entry, now);
   entry.own_revision = entry.revision;
   m_own_revision = entry.revision;
 }
 
-void CrashLedger::Clear(Case& entry, TimePoint survived_at)
+void CrashLedger::Clear(Case& entry, TimePoint last_success)
 {
-  entry.survived_at = std::max(entry.survived_at.value_or(survived_at), survived_at);
-  std::erase_if(entry.endings, [&](const auto& ending) {
-    return ending.second.at <= *entry.survived_at;
+  entry.last_success = std::max(entry.last_success.value_or(last_success), last_success);
+  std::erase_if(entry.server_crashes, [&](const auto& crash) {
+    return crash.second.at <= *entry.last_success;
   });
-  if (entry.blocked_at <= *entry.survived_at || IsBlockedTooEarly(entry))
+  if (entry.blocked_at <= *entry.last_success || IsBlockOverruled(entry))
     entry.blocked_until = {};
 }
 
 void CrashLedger::Merge(const CaseLine& line, TimePoint now)
 {
   Prune(now);
-  Case& entry = Open(line.request);
+  Case& entry = FindOrCreate(line.request);
   bool changed = false;
-  if (line.survived_age_ms >= 0)
+  if (line.last_success_age_ms >= 0)
   {
-    const TimePoint survived_at = now - Milliseconds(line.survived_age_ms);
+    const TimePoint last_success = now - Milliseconds(line.last_success_age_ms);
     // A repeated message yields a slightly later time for the same completion.
     constexpr Milliseconds SAME{2000};
-    if (!entry.survived_at || survived_at > *entry.survived_at + SAME)
+    if (!entry.last_success || last_success > *entry.last_success + SAME)
     {
-      Clear(entry, survived_at);
+      Clear(entry, last_success);
       changed = true;
     }
   }
-  for (const EndingLine& ending : line.endings)
+  for (const CrashLine& crash : line.server_crashes)
   {
     changed |=
-        AddEnding(entry, ending.server,
-                  {now - Milliseconds(ending.age_ms), now - Milliseconds(ending.sent_age_ms), {}});
-    const auto known = entry.endings.find(ending.server);
-    for (const Common::VmId& vm : ending.seen_by)
-      if (known != entry.endings.end() && known->second.seen_by.size() < MAX_WITNESSES)
+        AddCrash(entry, crash.server,
+                 {now - Milliseconds(crash.age_ms), now - Milliseconds(crash.sent_age_ms), {}});
+    const auto known = entry.server_crashes.find(crash.server);
+    for (const Common::VmId& vm : crash.seen_by)
+      if (known != entry.server_crashes.end() && known->second.seen_by.size() < MAX_SEEN_BY)
         changed |= known->second.seen_by.insert(vm).second;
   }
   if (line.blocks > entry.blocks)
   {
     const bool was_blocked = entry.IsBlocked(now);
     entry.blocks = line.blocks;
-    if (!IsBlockedTooEarly(entry))
+    if (!IsBlockOverruled(entry))
     {
       entry.blocked_at = now;
       entry.blocked_until = now + Milliseconds(line.blocked_for_ms);
@@ -187,79 +188,80 @@
     changed = true;
   }
   if (changed)
-    Touch(entry, now);
+    MarkChanged(entry, now);
   BlockIfDue(line.request, now);
 }
 
-int CrashLedger::EndingsThatCount(const Case& entry) const
+int CrashLedger::CountIndependentCrashes(const Case& entry) const
 {
-  std::vector<const Ending*> endings;
-  endings.reserve(entry.endings.size());
-  for (const auto& [server, ending] : entry.endings)
-    endings.push_back(&ending);
-  std::ranges::sort(endings, {}, [](const Ending* ending) {
-    return ending->at;
+  std::vector<const CrashRecord*> server_crashes;
+  server_crashes.reserve(entry.server_crashes.size());
+  for (const auto& [server, crash] : entry.server_crashes)
+    server_crashes.push_back(&crash);
+  std::ranges::sort(server_crashes, {}, [](const CrashRecord* crash) {
+    return crash->at;
   });
   int before_last_block = 0;
   int since = 0;
   TimePoint last_counted = TimePoint::min();
-  for (const Ending* ending : endings)
+  for (const CrashRecord* crash : server_crashes)
   {
-    if (ending->sent_at < last_counted)
+    if (crash->sent_at < last_counted)
       continue;
-    last_counted = ending->at;
-    const bool is_old = entry.blocks > 0 && ending->at <= entry.blocked_until;
+    last_counted = crash->at;
+    const bool is_old = entry.blocks > 0 && crash->at <= entry.blocked_until;
     ++(is_old ? before_last_block : since);
   }
   // After a block, a single further exit triggers the next one.
-  return std::min(before_last_block, EndingsToBlock(entry) - 1) + since;
+  return std::min(before_last_block, CrashesToBlock(entry) - 1) + since;
 }
 
 /// True if the block came from a daemon that did not know of the request's successful completion.
-bool CrashLedger::IsBlockedTooEarly(const Case& entry)
+bool CrashLedger::IsBlockOverruled(const Case& entry)
 {
-  return entry.survived_at && entry.blocks <= 1 && entry.endings.size() < ENDINGS_OF_SURVIVOR;
+  return entry.last_success && entry.blocks <= 1 &&
+         entry.server_crashes.size() < CRASHES_TO_BLOCK_AFTER_SUCCESS;
 }
 
 void CrashLedger::BlockIfDue(const Fingerprint& request, TimePoint now)
 {
   Case& entry = m_cases.at(request);
-  if (entry.IsBlocked(now) || EndingsThatCount(entry) < EndingsToBlock(entry))
+  if (entry.IsBlocked(now) || CountIndependentCrashes(entry) < CrashesToBlock(entry))
     return;
   const auto span =
       std::min(FIRST_BLOCK * (1 << std::min(entry.blocks, MAX_DOUBLINGS)), LONGEST_BLOCK);
   ++entry.blocks;
   entry.blocked_at = now;
   entry.blocked_until = now + span;
-  Touch(entry, now);
+  MarkChanged(entry, now);
   m_newly_blocked.push_back(request);
 }
 
-Judgement CrashLedger::Judge(const Fingerprint& request, TimePoint now) const
+BlockStatus CrashLedger::BlockStatusOf(const Fingerprint& request, TimePoint now) const
 {
   const auto found = m_cases.find(request);
   if (found == m_cases.end())
     return {};
-  Judgement judgement;
-  judgement.blocked = found->second.IsBlocked(now);
-  if (judgement.blocked)
-    judgement.blocked_for = std::chrono::ceil<Milliseconds>(found->second.blocked_until - now);
-  judgement.endings = EndingsThatCount(found->second);
-  return judgement;
+  BlockStatus status;
+  status.blocked = found->second.IsBlocked(now);
+  if (status.blocked)
+    status.blocked_for = std::chrono::ceil<Milliseconds>(found->second.blocked_until - now);
+  status.server_crashes = CountIndependentCrashes(found->second);
+  return status;
 }
 
-CaseLine CrashLedger::LineOf(const Fingerprint& request, const Case& entry, TimePoint now)
+CaseLine CrashLedger::ToCaseLine(const Fingerprint& request, const Case& entry, TimePoint now)
 {
   CaseLine line;
   line.request = request;
-  line.endings.reserve(entry.endings.size());
-  for (const auto& [server, ending] : entry.endings)
-    line.endings.push_back({server,
-                            AgeOf(ending.at, now),
-                            AgeOf(ending.sent_at, now),
-                            {ending.seen_by.begin(), ending.seen_by.end()}});
-  if (entry.survived_at)
-    line.survived_age_ms = AgeOf(*entry.survived_at, now);
+  line.server_crashes.reserve(entry.server_crashes.size());
+  for (const auto& [server, crash] : entry.server_crashes)
+    line.server_crashes.push_back({server,
+                                   AgeOf(crash.at, now),
+                                   AgeOf(crash.sent_at, now),
+                                   {crash.seen_by.begin(), crash.seen_by.end()}});
+  if (entry.last_success)
+    line.last_success_age_ms = AgeOf(*entry.last_success, now);
   if (entry.IsBlocked(now))
     line.blocked_for_ms = std::chrono::ceil<Milliseconds>(entry.blocked_until - now).count();
   line.blocks = entry.blocks;
@@ -271,67 +273,68 @@
   const auto found = m_cases.find(request);
   if (found == m_cases.end())
     return std::nullopt;
-  return LineOf(request, found->second, now);
+  return ToCaseLine(request, found->second, now);
 }
 
-void CrashLedger::Fill(CaseNews& news, const ByRevision& changed, std::size_t max_bytes,
-                       TimePoint now)
+void CrashLedger::FillUpdate(CaseUpdate& update, const ByRevision& changed, std::size_t max_bytes,
+                             TimePoint now)
 {
   std::size_t bytes = 0;
   for (const auto& [revision, found] : changed)
   {
-    CaseLine line = LineOf(*found.first, *found.second, now);
+    CaseLine line = ToCaseLine(*found.first, *found.second, now);
     bytes += BytesOf(line);
     if (bytes > max_bytes)
     {
-      news.to = revision - 1;
+      update.to = revision - 1;
       return;
     }
-    news.lines.push_back(std::move(line));
+    update.lines.push_back(std::move(line));
   }
 }
 
-CaseNews CrashLedger::SeenHereSince(std::uint64_t revision, std::size_t max_bytes,
-                                    TimePoint now) const
+CaseUpdate CrashLedger::OwnChangesSince(std::uint64_t revision, std::size_t max_bytes,
+                                        TimePoint now) const
 {
-  CaseNews news{revision, std::max(revision, m_own_revision), {}};
-  if (news.to == revision)
-    return news;
+  CaseUpdate update{revision, std::max(revision, m_own_revision), {}};
+  if (update.to == revision)
+    return update;
   ByRevision changed;
   for (const auto& [request, entry] : m_cases)
     if (entry.own_revision > revision)
       changed.emplace(entry.own_revision, std::pair(&request, &entry));
-  Fill(news, changed, max_bytes, now);
-  return news;
+  FillUpdate(update, changed, max_bytes, now);
+  return update;
 }
 
 /// A case with a single exit stays at the lease holder, since most such requests never recur.
-bool CrashLedger::ConcernsAll(const Case& entry)
+bool CrashLedger::IsSharedWithAll(const Case& entry)
 {
-  return entry.endings.size() > 1 || entry.blocks > 0 || entry.survived_at;
+  return entry.server_crashes.size() > 1 || entry.blocks > 0 || entry.last_success;
 }
 
-CaseNews CrashLedger::NewsSince(std::uint64_t revision, std::size_t max_bytes, TimePoint now) const
+CaseUpdate CrashLedger::SharedChangesSince(std::uint64_t revision, std::size_t max_bytes,
+                                           TimePoint now) const
 {
-  CaseNews news{revision, std::max(revision, m_revision), {}};
-  if (news.to == revision)
-    return news;
+  CaseUpdate update{revision, std::max(revision, m_revision), {}};
+  if (update.to == revision)
+    return update;
   ByRevision changed;
   for (const auto& [request, entry] : m_cases)
-    if (entry.revision > revision && ConcernsAll(entry))
+    if (entry.revision > revision && IsSharedWithAll(entry))
       changed.emplace(entry.revision, std::pair(&request, &entry));
-  Fill(news, changed, max_bytes, now);
-  return news;
+  FillUpdate(update, changed, max_bytes, now);
+  return update;
 }
 
-std::vector<CaseLine> CrashLedger::Worst(std::size_t least_endings, TimePoint now) const
+std::vector<CaseLine> CrashLedger::MostSevere(std::size_t min_crashes, TimePoint now) const
 {
   std::vector<CaseLine> lines;
   for (const auto& [request, entry] : m_cases)
-    if (entry.endings.size() >= least_endings || entry.blocks > 0)
-      lines.push_back(LineOf(request, entry, now));
+    if (entry.server_crashes.size() >= min_crashes || entry.blocks > 0)
+      lines.push_back(ToCaseLine(request, entry, now));
   std::ranges::stable_sort(lines, std::ranges::greater(), [](const CaseLine& line) {
-    return std::pair(line.blocked_for_ms, line.endings.size());
+    return std::pair(line.blocked_for_ms, line.server_crashes.size());
   });
   return lines;
 }
@@ -343,7 +346,7 @@
   }));
 }
 
-void CrashLedger::Forget(const Fingerprint& request)
+void CrashLedger::Remove(const Fingerprint& request)
 {
   m_keys.erase(m_keys.find(request.quick));
   m_cases.erase(request);
@@ -358,12 +361,13 @@
   std::vector<std::pair<Rank, Fingerprint>> kept;
   std::vector<Fingerprint> old;
   for (const auto& [request, entry] : m_cases)
-    if (!entry.IsBlocked(now) && now - std::max(entry.changed_at, entry.blocked_until) > MEMORY)
+    if (!entry.IsBlocked(now) && now - std::max(entry.changed_at, entry.blocked_until) > RETENTION)
       old.push_back(request);
     else
-      kept.push_back({{entry.IsBlocked(now), entry.endings.size(), entry.changed_at}, request});
+      kept.push_back(
+          {{entry.IsBlocked(now), entry.server_crashes.size(), entry.changed_at}, request});
   std::ranges::for_each(old, [this](const Fingerprint& request) {
-    Forget(request);
+    Remove(request);
   });
   if (kept.size() < MAX_CASES)
     return;
@@ -371,7 +375,7 @@
   const auto end = kept.begin() + static_cast<std::ptrdiff_t>(MAX_CASES / 4);
   std::ranges::nth_element(kept, end);
   std::for_each(kept.begin(), end, [this](const auto& entry) {
-    Forget(entry.second);
+    Remove(entry.second);
   });
 }
 } // namespace Crashes
--- a/Source/Core/Crashes/CrashLedger.h
+++ b/Source/Core/Crashes/CrashLedger.h
@@ -16,7 +16,7 @@
 namespace Crashes
 {
 /// Cases that changed within a range of a ledger's revisions.
-struct CaseNews
+struct CaseUpdate
 {
   std::uint64_t from = 0; ///< Last revision before the range.
   std::uint64_t to = 0;   ///< Last revision of the range.
@@ -24,11 +24,11 @@
 };
 
 /// Whether a request is blocked, and the evidence against it.
-struct Judgement
+struct BlockStatus
 {
   bool blocked = false;
   Common::Milliseconds blocked_for{0};
-  int endings = 0; ///< Server exits that count against the request.
+  int server_crashes = 0; ///< Server exits that count against the request.
 };
 
 /// Tracks which requests were in progress on servers that exited, and blocks those that repeatedly
@@ -45,37 +45,38 @@
 {
 public:
   /// Exits after which a request is blocked. The platform requires this number.
-  static constexpr int ENDINGS_TO_BLOCK = 3;
+  static constexpr int CRASHES_TO_BLOCK = 3;
   /// The same for a request that has completed successfully before. Such a request is sent often
   /// and runs on many servers, so it is more often a bystander.
-  static constexpr int ENDINGS_OF_SURVIVOR = 5;
+  static constexpr int CRASHES_TO_BLOCK_AFTER_SUCCESS = 5;
   /// Exits within this time after a successful completion do not count. This also delays the
   /// detection of a request that starts to crash servers after a release by as many seconds.
-  static constexpr Common::Milliseconds TRUSTED_FOR{15000};
+  static constexpr Common::Milliseconds SUCCESS_GRACE{15000};
   /// Duration of the first block. Each later one is twice as long, up to the longest. A fixed
   /// engine serves the request again after the block expires.
   static constexpr Common::Milliseconds FIRST_BLOCK{std::chrono::minutes(10)};
   static constexpr Common::Milliseconds LONGEST_BLOCK{std::chrono::hours(6)};
   /// A case is removed this long after its last change or the end of its block.
-  static constexpr Common::Milliseconds MEMORY{std::chrono::hours(1)};
+  static constexpr Common::Milliseconds RETENTION{std::chrono::hours(1)};
   /// Maximum number of cases, about 2 MB. Beyond it, those with the fewest exits are evicted first.
   static constexpr std::size_t MAX_CASES = 4096;
 
-  explicit CrashLedger(int endings_to_block = ENDINGS_TO_BLOCK)
-      : m_endings_to_block(endings_to_block)
+  explicit CrashLedger(int crashes_to_block = CRASHES_TO_BLOCK)
+      : m_crashes_to_block(crashes_to_block)
   {
   }
 
-  /// Records that a server exited while it processed the request. `survived_at` is the last
+  /// Records that a server exited while it processed the request. `last_success` is the last
   /// successful completion of the request known to this daemon.
-  void NoteEnding(const Fingerprint& request, const ServerLife& server, const Common::VmId& seen_by,
-                  Common::TimePoint sent_at, Common::TimePoint ended_at,
-                  std::optional<Common::TimePoint> survived_at = std::nullopt);
+  void RecordCrash(const Fingerprint& request, const ServerInstance& server,
+                   const Common::VmId& seen_by, Common::TimePoint sent_at,
+                   Common::TimePoint ended_at,
+                   std::optional<Common::TimePoint> last_success = std::nullopt);
   /// Records a successful completion of the request.
-  void NoteSurvival(const Fingerprint& request, Common::TimePoint now);
+  void NoteRequestSuccess(const Fingerprint& request, Common::TimePoint now);
   /// Records a successful completion from before the case was known to this daemon.
-  void NoteEarlierSurvival(const Fingerprint& request, Common::TimePoint survived_at,
-                           Common::TimePoint now);
+  void NoteEarlierSuccess(const Fingerprint& request, Common::TimePoint last_success,
+                          Common::TimePoint now);
   /// Merges the state of a case received from another daemon.
   void Merge(const CaseLine& line, Common::TimePoint now);
   /// Returns the requests that have been blocked since the last call.
@@ -83,26 +84,27 @@
 
   bool Empty() const { return m_cases.empty(); }
   /// False if no known request has this key, so that the fingerprint need not be computed.
-  bool MayKnow(QuickKey key) const { return m_keys.contains(key); }
-  Judgement Judge(const Fingerprint& request, Common::TimePoint now) const;
+  bool MayContain(QuickKey key) const { return m_keys.contains(key); }
+  BlockStatus BlockStatusOf(const Fingerprint& request, Common::TimePoint now) const;
 
   /// Increases whenever a case changes.
   std::uint64_t Revision() const { return m_revision; }
   /// Increases whenever this daemon itself records an observation.
   std::uint64_t OwnRevision() const { return m_own_revision; }
   /// Cases with observations of this daemon itself, oldest change first, up to `max_bytes`.
-  CaseNews SeenHereSince(std::uint64_t revision, std::size_t max_bytes,
-                         Common::TimePoint now) const;
+  CaseUpdate OwnChangesSince(std::uint64_t revision, std::size_t max_bytes,
+                             Common::TimePoint now) const;
   /// Cases that are shared with all daemons, oldest change first, up to `max_bytes`.
-  CaseNews NewsSince(std::uint64_t revision, std::size_t max_bytes, Common::TimePoint now) const;
-  /// Cases that have at least `least_endings` exits or were ever blocked; blocked ones first.
-  std::vector<CaseLine> Worst(std::size_t least_endings, Common::TimePoint now) const;
+  CaseUpdate SharedChangesSince(std::uint64_t revision, std::size_t max_bytes,
+                                Common::TimePoint now) const;
+  /// Cases that have at least `min_crashes` exits or were ever blocked; blocked ones first.
+  std::vector<CaseLine> MostSevere(std::size_t min_crashes, Common::TimePoint now) const;
   std::size_t Cases() const { return m_cases.size(); }
   std::size_t Blocked(Common::TimePoint now) const;
   std::optional<CaseLine> Find(const Fingerprint& request, Common::TimePoint now) const;
 
 private:
-  struct Ending
+  struct CrashRecord
   {
     Common::TimePoint at;
     Common::TimePoint sent_at; ///< When the request was first sent to the server.
@@ -110,8 +112,8 @@
   };
   struct Case
   {
-    std::map<ServerLife, Ending> endings;
-    std::optional<Common::TimePoint> survived_at;
+    std::map<ServerInstance, CrashRecord> server_crashes;
+    std::optional<Common::TimePoint> last_success;
     Common::TimePoint blocked_at;
     Common::TimePoint blocked_until; ///< In the past if it was never blocked.
     int blocks = 0;
@@ -122,28 +124,28 @@
     bool IsBlocked(Common::TimePoint now) const { return now < blocked_until; }
   };
 
-  Case& Open(const Fingerprint& request);
-  void Touch(Case& entry, Common::TimePoint now);
-  static bool AddEnding(Case& entry, const ServerLife& server, const Ending& ending);
-  static void Clear(Case& entry, Common::TimePoint survived_at);
-  int EndingsThatCount(const Case& entry) const;
-  int EndingsToBlock(const Case& entry) const
+  Case& FindOrCreate(const Fingerprint& request);
+  void MarkChanged(Case& entry, Common::TimePoint now);
+  static bool AddCrash(Case& entry, const ServerInstance& server, const CrashRecord& crash);
+  static void Clear(Case& entry, Common::TimePoint last_success);
+  int CountIndependentCrashes(const Case& entry) const;
+  int CrashesToBlock(const Case& entry) const
   {
-    return entry.survived_at ? ENDINGS_OF_SURVIVOR : m_endings_to_block;
+    return entry.last_success ? CRASHES_TO_BLOCK_AFTER_SUCCESS : m_crashes_to_block;
   }
-  static bool IsBlockedTooEarly(const Case& entry);
+  static bool IsBlockOverruled(const Case& entry);
   /// Blocks the request if enough exits count against it.
   void BlockIfDue(const Fingerprint& request, Common::TimePoint now);
-  void Forget(const Fingerprint& request);
+  void Remove(const Fingerprint& request);
   void Prune(Common::TimePoint now);
-  static CaseLine LineOf(const Fingerprint& request, const Case& entry, Common::TimePoint now);
-  static bool ConcernsAll(const Case& entry);
+  static CaseLine ToCaseLine(const Fingerprint& request, const Case& entry, Common::TimePoint now);
+  static bool IsSharedWithAll(const Case& entry);
   using ByRevision = std::map<std::uint64_t, std::pair<const Fingerprint*, const Case*>>;
   /// Adds the cases in `changed` to `news` in the order of their revisions, up to `max_bytes`.
-  static void Fill(CaseNews& news, const ByRevision& changed, std::size_t max_bytes,
-                   Common::TimePoint now);
+  static void FillUpdate(CaseUpdate& update, const ByRevision& changed, std::size_t max_bytes,
+                         Common::TimePoint now);
 
-  int m_endings_to_block;
+  int m_crashes_to_block;
   std::map<Fingerprint, Case> m_cases;
   std::multiset<QuickKey> m_keys;
   std::vector<Fingerprint> m_newly_blocked;
--- a/Source/Core/Crashes/RecentSuccesses.cpp
+++ b/Source/Core/Crashes/RecentSuccesses.cpp
@@ -9,7 +9,7 @@
 {
   m_last[request] = now;
   m_by_age.emplace_back(now, request);
-  while (now - m_by_age.front().first > MEMORY || m_by_age.size() > MAX_KEPT)
+  while (now - m_by_age.front().first > RETENTION || m_by_age.size() > MAX_KEPT)
   {
     const auto [noted_at, oldest] = m_by_age.front();
     m_by_age.pop_front();
@@ -24,7 +24,7 @@
                                                          Common::TimePoint now) const
 {
   const auto last = m_last.find(request);
-  if (last == m_last.end() || now - last->second > MEMORY)
+  if (last == m_last.end() || now - last->second > RETENTION)
     return std::nullopt;
   return last->second;
 }
--- a/Source/Core/Crashes/RecentSuccesses.h
+++ b/Source/Core/Crashes/RecentSuccesses.h
@@ -21,7 +21,7 @@
 class RecentSuccesses
 {
 public:
-  static constexpr Common::Milliseconds MEMORY{std::chrono::minutes(10)};
+  static constexpr Common::Milliseconds RETENTION{std::chrono::minutes(10)};
   /// Maximum number of entries, about 5 MB, or nine minutes at 120 requests per second. Beyond it,
   /// the oldest are evicted.
   static constexpr std::size_t MAX_KEPT = 65536;
--- a/Source/Core/Gateway/Backoff.cpp
+++ b/Source/Core/Gateway/Backoff.cpp
@@ -12,15 +12,15 @@
 using Common::Milliseconds;
 
 /// Pause after a rejection without a Retry-After.
-constexpr Milliseconds UNNAMED_PAUSE{60};
+constexpr Milliseconds DEFAULT_PAUSE{60};
 /// Each response widens the window by two, for the finished request and one more. This doubles the
 /// window per round.
-constexpr int WINDOW_PER_ANSWER = 2;
+constexpr int WINDOW_INCREMENT = 2;
 } // namespace
 
 void Backoff::NoteRejected(Common::TimePoint now)
 {
-  m_until = std::max(m_until, now + UNNAMED_PAUSE);
+  m_until = std::max(m_until, now + DEFAULT_PAUSE);
 }
 
 bool Backoff::NoteRetryAfter(Milliseconds span, Common::TimePoint now)
@@ -28,11 +28,11 @@
   const auto until = now + span;
   if (span <= Milliseconds(0) || until <= m_until)
     return false;
-  const bool is_renewed = IsNamed(now) || m_window == 1;
+  const bool is_renewed = IsRetryAfterActive(now) || m_window == 1;
   if (!is_renewed)
-    m_named_since = now;
+    m_retry_after_since = now;
   m_until = until;
-  m_named_until = until;
+  m_retry_after_until = until;
   m_window = 1;
   m_in_flight = 0;
   return true;
@@ -40,10 +40,10 @@
 
 bool Backoff::NoteAccepted(Common::TimePoint sent_at, int slots)
 {
-  if (!m_window || sent_at < m_named_until)
+  if (!m_window || sent_at < m_retry_after_until)
     return false;
   const bool is_first = *m_window == 1;
-  *m_window += WINDOW_PER_ANSWER;
+  *m_window += WINDOW_INCREMENT;
   if (*m_window > slots)
     m_window.reset();
   return is_first;
@@ -51,13 +51,13 @@
 
 void Backoff::NoteStart(Common::TimePoint sent_at)
 {
-  if (sent_at >= m_named_until)
+  if (sent_at >= m_retry_after_until)
     ++m_in_flight;
 }
 
 void Backoff::NoteEnd(Common::TimePoint sent_at)
 {
-  if (sent_at >= m_named_until)
+  if (sent_at >= m_retry_after_until)
     --m_in_flight;
 }
 
@@ -66,10 +66,11 @@
   return std::max(std::chrono::ceil<Milliseconds>(m_until - now), Milliseconds(0));
 }
 
-Milliseconds Backoff::NamedSpan(Common::TimePoint now) const
+Milliseconds Backoff::RetryAfterSpan(Common::TimePoint now) const
 {
-  return IsNamed(now) ? std::chrono::ceil<Milliseconds>(m_named_until - m_named_since)
-                      : Milliseconds(0);
+  return IsRetryAfterActive(now)
+             ? std::chrono::ceil<Milliseconds>(m_retry_after_until - m_retry_after_since)
+             : Milliseconds(0);
 }
 
 bool Backoff::MaySend(Common::TimePoint now) const
--- a/Source/Core/Gateway/Backoff.h
+++ b/Source/Core/Gateway/Backoff.h
@@ -33,19 +33,19 @@
   /// Remaining backoff; zero if none is active.
   Common::Milliseconds Left(Common::TimePoint now) const;
   /// True while a Retry-After is in effect.
-  bool IsNamed(Common::TimePoint now) const { return now < m_named_until; }
+  bool IsRetryAfterActive(Common::TimePoint now) const { return now < m_retry_after_until; }
   /// Total length of the current Retry-After and the ones before it that were renewed without an
   /// accepted request in between; zero if none is in effect.
-  Common::Milliseconds NamedSpan(Common::TimePoint now) const;
+  Common::Milliseconds RetryAfterSpan(Common::TimePoint now) const;
   /// True if the next request may be sent.
   bool MaySend(Common::TimePoint now) const;
   /// True while the slow start limits concurrent requests.
   bool IsSlowStart() const { return m_window.has_value(); }
 
 private:
-  Common::TimePoint m_until;       ///< No request is sent before this time.
-  Common::TimePoint m_named_until; ///< End of the latest Retry-After.
-  Common::TimePoint m_named_since;
+  Common::TimePoint m_until;             ///< No request is sent before this time.
+  Common::TimePoint m_retry_after_until; ///< End of the latest Retry-After.
+  Common::TimePoint m_retry_after_since;
   /// Concurrent requests allowed by the slow start, counting those sent since the Retry-After
   /// ended; unset if there is no bound.
   std::optional<int> m_window;
--- /dev/null
+++ b/Source/Core/Gateway/CrashDetector.cpp
@@ -0,0 +1,154 @@
+// SPDX-FileCopyrightText: 2026 The drumpond developers
+// SPDX-License-Identifier: Apache-2.0
+
+#include "Gateway/CrashDetector.h"
+
+#include <algorithm>
+#include <iterator>
+#include <utility>
+
+#include "Common/Log.h"
+#include "Common/Loop.h"
+
+namespace Gateway
+{
+namespace
+{
+using Common::Milliseconds;
+
+/// Delay before the server is probed. Within it, a refused connection of another request already
+/// shows that the server has exited. Data still received from the server proves nothing, since it
+/// may have been written before the exit.
+constexpr Milliseconds PROBE_DELAY{100};
+/// Time limit for the probe's connection. A timeout is inconclusive: the server may be on the other
+/// side of a network partition.
+constexpr Milliseconds PROBE_TIMEOUT{400};
+/// A request that crashes a server does so shortly after it starts to run. A request that had been
+/// running for longer is a suspect only if no newer one was in progress.
+constexpr Milliseconds MAX_CRASH_RUN_TIME{1000};
+
+/// Returns the requests that may have caused the server to exit.
+std::vector<CrashDetector::Suspect>
+SelectLikely(const std::vector<CrashDetector::Suspect>& suspects)
+{
+  const auto is_new = [](const CrashDetector::Suspect& suspect) {
+    return suspect.ran_for.value_or(Milliseconds(0)) <= MAX_CRASH_RUN_TIME;
+  };
+  const bool any_new = std::ranges::any_of(suspects, is_new);
+  std::vector<CrashDetector::Suspect> likely;
+  std::ranges::copy_if(suspects, std::back_inserter(likely), [&](const auto& suspect) {
+    return !any_new || is_new(suspect);
+  });
+  return likely;
+}
+} // namespace
+
+class CrashDetector::Probe : public Http::StreamEvents
+{
+public:
+  enum class Outcome
+  {
+    Accepted,
+    Refused,
+    Inconclusive,
+  };
+
+  Probe(const Http::Endpoint& server, std::function<void(Outcome)> on_outcome)
+      : m_on_outcome(std::move(on_outcome)), m_stream(Http::TcpStream::Connect(server, this))
+  {
+    m_timer.Start(m_stream ? PROBE_TIMEOUT : Milliseconds(0), [this] {
+      m_on_outcome(Outcome::Inconclusive);
+    });
+  }
+
+  void OnConnected() override { FinishLater(Outcome::Accepted); }
+  void OnBytes(std::string_view) override {}
+  void OnEnd(Http::StreamEnd) override
+  {
+    if (!m_finished)
+      FinishLater(Outcome::Refused);
+  }
+
+private:
+  /// Defers the callback, since it destroys the probe while its stream is still in a callback.
+  void FinishLater(Outcome outcome)
+  {
+    m_finished = true;
+    m_timer.Start(Milliseconds(0), [this, outcome] {
+      m_on_outcome(outcome);
+    });
+  }
+
+  std::function<void(Outcome)> m_on_outcome;
+  bool m_finished = false;
+  Common::OwnedTimer m_timer;
+  std::shared_ptr<Http::TcpStream> m_stream;
+};
+
+void CrashDetector::NoteConnectionBroken(const ServerPtr& server, const Suspect& suspect)
+{
+  const InstanceId& instance = server->Entry().instance;
+  // A server that shuts down as planned may break its remaining connections.
+  const bool leaves =
+      server->IsDraining() || server->IsReplaced() || m_servers.Find(instance) != server;
+  if (leaves)
+    return;
+  const auto [found, is_new] = m_pending_checks.try_emplace(instance);
+  PendingCheck& check = found->second;
+  check.suspects.push_back(suspect);
+  if (!is_new)
+    return;
+  check.server = server;
+  check.since = Common::Now();
+  check.timer.Start(PROBE_DELAY, [this, instance] {
+    StartProbe(instance);
+  });
+}
+
+void CrashDetector::NoteConnectionRefused(const ServerPtr& server)
+{
+  Finish(server->Entry().instance, true, "connection for a request refused");
+}
+
+void CrashDetector::StartProbe(const InstanceId& instance)
+{
+  PendingCheck& check = m_pending_checks.at(instance);
+  check.probe = std::make_shared<Probe>(
+      check.server->Entry().endpoint, [this, instance](Probe::Outcome outcome) {
+        if (outcome == Probe::Outcome::Refused)
+          Finish(instance, true, "probe connection refused");
+        else
+          Finish(instance, false,
+                 outcome == Probe::Outcome::Accepted ? "probe connection accepted" : "silent");
+      });
+}
+
+void CrashDetector::Finish(const InstanceId& instance, bool crashed, const char* how)
+{
+  const auto found = m_pending_checks.find(instance);
+  if (found == m_pending_checks.end())
+    return;
+  // The caller may be a timer or probe owned by the extracted node, which is destroyed on return.
+  const auto check = m_pending_checks.extract(found);
+  const auto likely = SelectLikely(check.mapped().suspects);
+  const auto took = std::chrono::duration_cast<Milliseconds>(Common::Now() - check.mapped().since);
+  Common::LogEvent(crashed ? Common::LogLevel::Warning : Common::LogLevel::Info,
+                   crashed ? "server-ended" : "server-not-ended",
+                   {{"instance", instance},
+                    {"how", how},
+                    {"broken", check.mapped().suspects.size()},
+                    {"suspects", likely.size()},
+                    {"after_ms", took.count()}});
+  if (crashed)
+    m_on_crashed(instance, check.mapped().since, likely);
+  m_on_check_done();
+}
+
+bool CrashDetector::IsCheckPending(const Crashes::Fingerprint& request) const
+{
+  return std::ranges::any_of(m_pending_checks, [&](const auto& check) {
+    return std::ranges::find(check.second.suspects, request, &Suspect::request) !=
+           check.second.suspects.end();
+  });
+}
+} // namespace Gateway
--- a/Source/Core/Gateway/EndDetector.h
+++ b/Source/Core/Gateway/CrashDetector.h
@@ -21,7 +21,7 @@
 /// at first. A refused connection shows that the process has exited: the host is reachable and
 /// nothing listens on the port. If a connection is accepted, the process is running. If the attempt
 /// times out, the state stays unknown and is not treated as an exit.
-class EndDetector
+class CrashDetector
 {
 public:
   /// A request in progress on a server when a connection to it broke.
@@ -30,33 +30,33 @@
     Crashes::Fingerprint request;
     Common::TimePoint sent_at;
     /// When a server last completed the request successfully; unset if none is known to have.
-    std::optional<Common::TimePoint> survived_at;
+    std::optional<Common::TimePoint> last_success;
     /// Time since the first bytes of the response; unset if there were none.
     std::optional<Common::Milliseconds> ran_for;
   };
   /// Arguments: the server, when its first connection broke, and the requests that may have caused
   /// the exit.
-  using EndedHandler =
+  using CrashHandler =
       std::function<void(const InstanceId&, Common::TimePoint, const std::vector<Suspect>&)>;
 
-  explicit EndDetector(const ServerDirectory& servers) : m_servers(servers) {}
+  explicit CrashDetector(const ServerDirectory& servers) : m_servers(servers) {}
 
   /// Called for each server that has exited.
-  void OnEnded(EndedHandler handler) { m_on_ended = std::move(handler); }
+  void OnCrashed(CrashHandler handler) { m_on_crashed = std::move(handler); }
   /// Called when the check of a suspected server completes.
-  void OnSettled(std::function<void()> callback) { m_on_settled = std::move(callback); }
+  void OnCheckDone(std::function<void()> callback) { m_on_check_done = std::move(callback); }
 
   /// Records that a connection broke during an exchange.
-  void NoteBroken(const ServerPtr& server, const Suspect& suspect);
+  void NoteConnectionBroken(const ServerPtr& server, const Suspect& suspect);
   /// Records that a new connection to the server was refused.
-  void NoteRefused(const ServerPtr& server);
+  void NoteConnectionRefused(const ServerPtr& server);
   /// True while it is undetermined whether a server exited while it processed the request.
-  bool IsInDoubt(const Crashes::Fingerprint& request) const;
+  bool IsCheckPending(const Crashes::Fingerprint& request) const;
 
 private:
   /// Connects to the server to check whether it still listens.
   class Probe;
-  struct Doubt
+  struct PendingCheck
   {
     ServerPtr server;
     Common::TimePoint since;
@@ -65,12 +65,12 @@
     std::shared_ptr<Probe> probe;
   };
 
-  void Ask(const InstanceId& instance);
-  void Settle(const InstanceId& instance, bool ended, const char* how);
+  void StartProbe(const InstanceId& instance);
+  void Finish(const InstanceId& instance, bool crashed, const char* how);
 
   const ServerDirectory& m_servers;
-  EndedHandler m_on_ended;
-  std::function<void()> m_on_settled;
-  std::map<InstanceId, Doubt> m_doubts;
+  CrashHandler m_on_crashed;
+  std::function<void()> m_on_check_done;
+  std::map<InstanceId, PendingCheck> m_pending_checks;
 };
 } // namespace Gateway
--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -48,10 +48,10 @@
   m_limited.OnChange([this] {
     OnLimitChange();
   });
-  m_ends.OnEnded([this](const InstanceId& instance, Common::TimePoint at, const auto& suspects) {
+  m_ends.OnCrashed([this](const InstanceId& instance, Common::TimePoint at, const auto& suspects) {
     TakeEnd(instance, at, suspects);
   });
-  m_ends.OnSettled([this] {
+  m_ends.OnCheckDone([this] {
     WakeWaiting();
   });
 }
@@ -233,7 +233,7 @@
         !relay.MayGoTo(instance))
       continue;
     const bool holds = model.Empty() || server->HoldsModel(model);
-    const bool must_wait = server->Limit() || server->GetBackoff().IsNamed(now);
+    const bool must_wait = server->Limit() || server->GetBackoff().IsRetryAfterActive(now);
     // A server that holds the model will get to the request, even if it has no free slot now.
     if (holds && !must_wait)
       return std::nullopt;
@@ -241,7 +241,7 @@
       slow_holders.push_back(server);
     if (holds || spec == nullptr)
       continue;
-    load.is_coming = load.is_coming || server->IsComing(model);
+    load.is_coming = load.is_coming || server->IsLoadingFromStore(model);
     const auto source = server->SourceOf(model);
     load.nearest = std::min(load.nearest.value_or(source), source);
     if (!must_wait)
@@ -266,15 +266,15 @@
 }
 
 void Dispatcher::TakeEnd(const InstanceId& instance, Common::TimePoint ended_at,
-                         const std::vector<EndDetector::Suspect>& suspects)
-{
-  const Crashes::ServerLife life(instance.Started().Get() == 0
-                                     ? instance.Get()
-                                     : instance.Get() + "@" +
-                                           std::to_string(instance.Started().Get()));
-  for (const EndDetector::Suspect& suspect : suspects)
-    m_crashes.NoteEnding(suspect.request, life, m_settings.self, suspect.sent_at, ended_at,
-                         suspect.survived_at);
+                         const std::vector<CrashDetector::Suspect>& suspects)
+{
+  const Crashes::ServerInstance life(instance.Started().Get() == 0
+                                         ? instance.Get()
+                                         : instance.Get() + "@" +
+                                               std::to_string(instance.Started().Get()));
+  for (const CrashDetector::Suspect& suspect : suspects)
+    m_crashes.RecordCrash(suspect.request, life, m_settings.self, suspect.sent_at, ended_at,
+                          suspect.last_success);
   EndBlocked();
   if (m_on_demand)
     m_on_demand();
@@ -287,8 +287,8 @@
   for (const Crashes::CaseLine& line : cases)
   {
     m_crashes.Merge(line, now);
-    if (const auto survived_at = m_successes.LastOf(line.request.quick, now))
-      m_crashes.NoteEarlierSurvival(line.request, *survived_at, now);
+    if (const auto last_success = m_successes.LastOf(line.request.quick, now))
+      m_crashes.NoteEarlierSuccess(line.request, *last_success, now);
   }
   EndBlocked();
   if (m_crashes.OwnRevision() != before && m_on_demand)
@@ -305,7 +305,7 @@
                        {{"fingerprint", request.ToString()},
                         {"for_ms", known->blocked_for_ms},
                         {"blocks", known->blocks},
-                        {"ended", Crashes::Describe(known->endings)}});
+                        {"ended", Crashes::Describe(known->server_crashes)}});
   if (blocked.empty())
     return;
   const auto relays = m_relays;
@@ -313,34 +313,36 @@
     relay->EndIfBlocked();
 }
 
-Crashes::Judgement Dispatcher::JudgeCrashes(Relay& relay) const
+Crashes::BlockStatus Dispatcher::JudgeCrashes(Relay& relay) const
 {
-  if (m_crashes.Empty() || !m_crashes.MayKnow(Crashes::QuickKeyOf(relay.Identity())))
+  if (m_crashes.Empty() || !m_crashes.MayContain(Crashes::QuickKeyOf(relay.Identity())))
     return {};
-  return m_crashes.Judge(relay.Fingerprint(), Common::Now());
+  return m_crashes.BlockStatusOf(relay.Fingerprint(), Common::Now());
 }
 
 bool Dispatcher::IsHeldBack(Relay& relay) const
 {
-  return JudgeCrashes(relay).endings >= Crashes::CrashLedger::ENDINGS_TO_BLOCK - 1 &&
-         m_ends.IsInDoubt(relay.Fingerprint());
+  return JudgeCrashes(relay).server_crashes >= Crashes::CrashLedger::CRASHES_TO_BLOCK - 1 &&
+         m_ends.IsCheckPending(relay.Fingerprint());
 }
 
-void Dispatcher::NoteBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
-                            std::optional<Milliseconds> ran_for)
+void Dispatcher::NoteConnectionBroken(const ServerPtr& server, Relay& relay,
+                                      Common::TimePoint sent_at,
+                                      std::optional<Milliseconds> ran_for)
 {
-  const auto survived_at = m_successes.LastOf(Crashes::QuickKeyOf(relay.Identity()), Common::Now());
-  m_ends.NoteBroken(server, {relay.Fingerprint(), sent_at, survived_at, ran_for});
+  const auto last_success =
+      m_successes.LastOf(Crashes::QuickKeyOf(relay.Identity()), Common::Now());
+  m_ends.NoteConnectionBroken(server, {relay.Fingerprint(), sent_at, last_success, ran_for});
 }
 
-void Dispatcher::NoteSurvival(Relay& relay)
+void Dispatcher::NoteRequestSuccess(Relay& relay)
 {
   const Crashes::QuickKey key = Crashes::QuickKeyOf(relay.Identity());
   m_successes.Note(key, Common::Now());
-  if (!m_crashes.MayKnow(key))
+  if (!m_crashes.MayContain(key))
     return;
   const std::uint64_t before = m_crashes.OwnRevision();
-  m_crashes.NoteSurvival(relay.Fingerprint(), Common::Now());
+  m_crashes.NoteRequestSuccess(relay.Fingerprint(), Common::Now());
   EndBlocked();
   if (m_crashes.OwnRevision() != before && m_on_demand)
     m_on_demand();
@@ -529,7 +531,7 @@
   m_metrics.SetGauge("sent_to_draining", static_cast<double>(m_counters.sent_to_draining));
   m_metrics.SetGauge("sent_after_drain", static_cast<double>(m_counters.sent_after_drain));
   m_metrics.SetGauge("servers_backing_off", count_servers([&](const Server& server) {
-                       return server.GetBackoff().IsNamed(now);
+                       return server.GetBackoff().IsRetryAfterActive(now);
                      }));
   m_metrics.SetGauge("sent_in_backoff", static_cast<double>(m_counters.sent_in_backoff));
   m_metrics.SetGauge("withdrawn_for_backoff", static_cast<double>(m_counters.withdrawn));
--- a/Source/Core/Gateway/Dispatcher.h
+++ b/Source/Core/Gateway/Dispatcher.h
@@ -17,8 +17,8 @@
 #include "Crashes/CrashLedger.h"
 #include "Crashes/RecentSuccesses.h"
 #include "Decisions/Routing.h"
-#include "Gateway/DrainBook.h"
-#include "Gateway/EndDetector.h"
+#include "Gateway/CrashDetector.h"
+#include "Gateway/DrainRegistry.h"
 #include "Gateway/LimitedServers.h"
 #include "Gateway/Relay.h"
 #include "Gateway/RetryBudget.h"
@@ -104,7 +104,7 @@
   LimitedServers& Limited() { return m_limited; }
   const LimitedServers& Limited() const { return m_limited; }
   /// Servers that have announced that they drain, for the exchange with other daemons.
-  DrainBook& Draining() { return m_draining; }
+  DrainRegistry& Draining() { return m_draining; }
   /// Applies the draining servers that the lease holder of `tenure` has announced.
   void TakeDrainNews(std::int64_t tenure, std::span<const RateLimits::ServerKey> servers);
   /// At the lease holder: applies the draining servers that another daemon has reported.
@@ -162,7 +162,7 @@
   /// that its model can be loaded meanwhile.
   void ExpectReturn(const Relay& relay, Common::Milliseconds span);
   void NoteArrival(const Relay& relay);
-  EndDetector& Ends() { return m_ends; }
+  CrashDetector& Ends() { return m_ends; }
   /// Applies the signals in the headers of a response to a request, an order or a report.
   void NoteSignals(const ServerPtr& server, const ServerSignals& signals,
                    const SignalOrigin& origin);
@@ -172,15 +172,15 @@
   /// Counts a request that is being sent to the server.
   void CountSend(const Server& server, Common::TimePoint now);
   /// Records that the connection broke while the server had the request.
-  void NoteBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
-                  std::optional<Common::Milliseconds> ran_for);
+  void NoteConnectionBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
+                            std::optional<Common::Milliseconds> ran_for);
   /// Whether the request is blocked because servers that ran it have crashed.
-  Crashes::Judgement JudgeCrashes(Relay& relay) const;
+  Crashes::BlockStatus JudgeCrashes(Relay& relay) const;
   /// True while the request is one crash short of being blocked, and it is not yet known whether a
   /// server that just broke its connection has crashed.
   bool IsHeldBack(Relay& relay) const;
   /// Records that a server has completed the request successfully.
-  void NoteSurvival(Relay& relay);
+  void NoteRequestSuccess(Relay& relay);
   /// Schedules one pass over the waiting requests from the main loop; repeated calls are merged.
   void WakeWaiting();
   void RequestDemand();
@@ -191,7 +191,7 @@
 private:
   void PumpWaiting();
   void TakeEnd(const InstanceId& instance, Common::TimePoint ended_at,
-               const std::vector<EndDetector::Suspect>& suspects);
+               const std::vector<CrashDetector::Suspect>& suspects);
   /// Ends the open requests that have become blocked.
   void EndBlocked();
   /// Updates the gauges of requested and refused units by account.
@@ -254,9 +254,9 @@
   Accounts::LocalAllowances m_allowances;
   Crashes::CrashLedger m_crashes;
   Crashes::RecentSuccesses m_successes;
-  EndDetector m_ends{m_servers};
+  CrashDetector m_ends{m_servers};
   LimitedServers m_limited{m_servers};
-  DrainBook m_draining;
+  DrainRegistry m_draining;
   std::set<ServerPtr> m_backoff_news;    ///< Servers with a new Retry-After, not yet reviewed.
   std::uint64_t m_draining_revision = 0; ///< Of the directory when m_draining was last applied.
   Decisions::AffinityRouting m_routing;
--- a/Source/Core/Gateway/DispatcherLimits.cpp
+++ b/Source/Core/Gateway/DispatcherLimits.cpp
@@ -49,11 +49,11 @@
     return ExpectedWait(*server, now);
   });
   const bool loads_elsewhere =
-      is_coming || (nearest && *nearest != Decisions::WeightSource::WeightStore &&
-                    soonest->IsPlannedAround(now));
+      is_coming ||
+      (nearest && *nearest != Decisions::WeightSource::WeightStore && soonest->IsThrottled(now));
   if (loads_elsewhere || ExpectedWait(*soonest, now) <= longest_wait)
     return std::nullopt;
-  if (!soonest->GetBackoff().IsNamed(now))
+  if (!soonest->GetBackoff().IsRetryAfterActive(now))
     return EarlyRefusal{m_limited.ComeBackAfter(*soonest, now),
                         "the queue for the servers' rate limits is too long", soonest};
   const auto spread = Milliseconds(Common::SharedRandom()() % BACKOFF_RETURN_SPREAD.count());
--- a/Source/Core/Gateway/DispatcherSignals.cpp
+++ b/Source/Core/Gateway/DispatcherSignals.cpp
@@ -34,12 +34,12 @@
   const InstanceId& instance = server->Entry().instance;
   if (IsOfAnotherInstance(*server, signals))
     return;
-  for (const UnreadableSignal& unreadable : signals.unreadable)
+  for (const InvalidHeader& invalid : signals.invalid)
     Common::LogEvent(Common::LogLevel::Warning, "server-signal-unreadable",
                      {{"instance", instance},
                       {"id", origin.request},
-                      {"header", unreadable.header},
-                      {"value", unreadable.value}});
+                      {"header", invalid.header},
+                      {"value", invalid.value}});
   if (signals.draining)
     NoteAnnouncedEnd(server, origin);
   else if (origin.is_request)
@@ -63,7 +63,7 @@
 {
   const auto now = Common::Now();
   Backoff& backoff = server->GetBackoff();
-  const Milliseconds before = backoff.IsNamed(now) ? backoff.Left(now) : Milliseconds(0);
+  const Milliseconds before = backoff.IsRetryAfterActive(now) ? backoff.Left(now) : Milliseconds(0);
   if (!backoff.NoteRetryAfter(span, now))
     return;
   Common::LogEvent(Common::LogLevel::Info, "server-backoff",
@@ -71,7 +71,7 @@
                     {"id", origin.request},
                     {"for_ms", span.count()},
                     {"left_before_ms", before.count()},
-                    {"in_all_ms", backoff.NamedSpan(now).count()},
+                    {"in_all_ms", backoff.RetryAfterSpan(now).count()},
                     {"sent_ms_ago", AgeOf(origin).count()}});
   m_backoff_news.insert(server);
   WakeWaiting();
@@ -128,7 +128,7 @@
 
 void Dispatcher::TakeDrainNews(std::int64_t tenure, std::span<const RateLimits::ServerKey> servers)
 {
-  for (const RateLimits::ServerKey key : m_draining.TakeNews(tenure, servers, Common::Now()))
+  for (const RateLimits::ServerKey key : m_draining.ApplyUpdate(tenure, servers, Common::Now()))
     NoteReportedEnd(key, "the holder");
   if (!m_draining.Unconfirmed().empty() && m_on_permit_demand)
     m_on_permit_demand();
--- a/Source/Core/Gateway/DrainState.cpp
+++ b/Source/Core/Gateway/DrainState.cpp
@@ -44,7 +44,7 @@
 
 DrainSource DrainState::Source() const
 {
-  if (m_entry_drains)
+  if (m_draining_in_entry)
     return DrainSource::Entry;
   if (m_announced_at)
     return DrainSource::Answer;
--- a/Source/Core/Gateway/DrainState.h
+++ b/Source/Core/Gateway/DrainState.h
@@ -29,7 +29,7 @@
 {
 public:
   /// Applies the state in the server's entry; called for each update of the entry.
-  void SetEntry(bool draining) { m_entry_drains = draining; }
+  void SetEntry(bool draining) { m_draining_in_entry = draining; }
   /// Records a response to this VM that announces draining. Returns true for the first one.
   bool NoteAnnounced(Common::TimePoint now);
   /// Records a response without the announcement to a request that this VM sent at `sent_at`.
@@ -37,7 +37,7 @@
   /// Takes over the announcement of the previous incarnation under the same id. It may already have
   /// come from this incarnation, before its entry was received. If this incarnation announces
   /// draining as well, the time of the earlier announcement applies.
-  void TakeOver(const DrainState& before) { m_announced_before = before.m_announced_at; }
+  void Inherit(const DrainState& before) { m_announced_before = before.m_announced_at; }
   /// Records a report that the server announced draining to another VM.
   void NoteReported(Common::TimePoint now);
 
@@ -51,7 +51,7 @@
   bool MayServe(Common::TimePoint now, Common::Milliseconds grace) const;
 
 private:
-  bool m_entry_drains = false;
+  bool m_draining_in_entry = false;
   std::optional<Common::TimePoint> m_announced_at;
   std::optional<Common::TimePoint> m_announced_before; ///< By the previous incarnation.
   std::optional<Common::TimePoint> m_reported_at;
--- a/Source/Core/Gateway/EntryPoint.cpp
+++ b/Source/Core/Gateway/EntryPoint.cpp
@@ -144,12 +144,12 @@
                        {"models", std::move(models)}});
   }
   Common::Json crashes = Common::Json::array();
-  for (const Crashes::CaseLine& line : m_dispatcher.CrashCases().Worst(DUMPED_ENDINGS, now))
+  for (const Crashes::CaseLine& line : m_dispatcher.CrashCases().MostSevere(DUMPED_ENDINGS, now))
     crashes.push_back({{"fingerprint", line.request.ToString()},
-                       {"ended", Crashes::Describe(line.endings)},
+                       {"ended", Crashes::Describe(line.server_crashes)},
                        {"blocked_for_ms", line.blocked_for_ms},
                        {"blocks", line.blocks},
-                       {"survived_ms_ago", line.survived_age_ms}});
+                       {"survived_ms_ago", line.last_success_age_ms}});
   const auto& configuration = m_dispatcher.CurrentConfiguration();
   return Common::DumpJson({{"ready", IsReady()},
                            {"crashes", std::move(crashes)},
--- a/Source/Core/Gateway/Relay.cpp
+++ b/Source/Core/Gateway/Relay.cpp
@@ -184,12 +184,12 @@
 
 bool Relay::AnswerIfBlocked()
 {
-  const Crashes::Judgement judgement = m_dispatcher.JudgeCrashes(*this);
-  if (!judgement.blocked)
+  const Crashes::BlockStatus block_status = m_dispatcher.JudgeCrashes(*this);
+  if (!block_status.blocked)
     return false;
-  m_come_back_after = judgement.blocked_for;
+  m_come_back_after = block_status.blocked_for;
   const std::string why =
-      std::to_string(judgement.endings) + " servers crashed while they had this request";
+      std::to_string(block_status.server_crashes) + " servers crashed while they had this request";
   if (m_stream_begun)
     EndWith(Outcome::BrokenOff, 0, why);
   else
--- a/Source/Core/Gateway/RelayAnswers.cpp
+++ b/Source/Core/Gateway/RelayAnswers.cpp
@@ -24,7 +24,7 @@
 
 Http::AnswerEvents::Verdict Relay::OnAnswerHead(Http::MessageHead& head)
 {
-  m_server->NoteHeard(Common::Now());
+  m_server->NoteReceived(Common::Now());
   const std::string* id = head.Find(m_dispatcher.Settings().names.request_id);
   if (!m_id.empty() && (id == nullptr || *id != m_id))
   {
@@ -68,7 +68,7 @@
 
 void Relay::OnAnswerBody(std::string_view bytes)
 {
-  m_server->NoteHeard(Common::Now());
+  m_server->NoteReceived(Common::Now());
   if (!m_is_stream)
   {
     m_body.append(bytes);
@@ -109,7 +109,7 @@
   const auto guard = shared_from_this();
   m_silence_timer.Stop();
   if (m_connection && m_server)
-    m_server->KeepConnection(std::exchange(m_connection, nullptr));
+    m_server->ReturnConnection(std::exchange(m_connection, nullptr));
   if (m_is_stream)
     FinishStream();
   else
@@ -119,7 +119,7 @@
 void Relay::FinishStream()
 {
   m_server->Health().NoteSuccess(Common::Now());
-  m_dispatcher.NoteSurvival(*this);
+  m_dispatcher.NoteRequestSuccess(*this);
   const std::string rest = m_events.Partial();
   if (!m_stream_begun)
     m_caller->BeginChunked(m_head.status, m_head.reason, ForwardedHeaders(m_head));
@@ -153,7 +153,7 @@
     m_server->Health().NoteSuccess(Common::Now());
   // Only a success shows that the server has run the request; an error may come without a run.
   if (m_head.status >= 200 && m_head.status < 300)
-    m_dispatcher.NoteSurvival(*this);
+    m_dispatcher.NoteRequestSuccess(*this);
   const bool is_first_failure = server_failed && !m_kept_head;
   if (!server_failed || is_first_failure)
   {
@@ -198,7 +198,7 @@
     else
     {
       m_server->Health().NoteUnreachable(now);
-      m_dispatcher.Ends().NoteRefused(m_server);
+      m_dispatcher.Ends().NoteConnectionRefused(m_server);
     }
     --m_arrivals;
     m_tried.erase(m_server->Entry().instance);
@@ -214,7 +214,7 @@
   std::optional<Milliseconds> ran_for;
   if (m_server_spoke_at)
     ran_for = std::chrono::duration_cast<Milliseconds>(now - *m_server_spoke_at);
-  m_dispatcher.NoteBroken(m_server, *this, m_sent_at, ran_for);
+  m_dispatcher.NoteConnectionBroken(m_server, *this, m_sent_at, ran_for);
   AttemptFailed("the connection broke before the response was complete", true);
 }
 } // namespace Gateway
--- a/Source/Core/Gateway/RelayWaiting.cpp
+++ b/Source/Core/Gateway/RelayWaiting.cpp
@@ -87,7 +87,7 @@
     return;
   const auto now = Common::Now();
   const Server& holder = *refusal.holder;
-  if (holder.GetBackoff().IsNamed(now))
+  if (holder.GetBackoff().IsRetryAfterActive(now))
     Common::LogEvent(Common::LogLevel::Info, "refused-for-backoff",
                      {{"id", m_id},
                       {"artifact", m_artifact.ToString()},
--- a/Source/Core/Gateway/ServerDirectory.cpp
+++ b/Source/Core/Gateway/ServerDirectory.cpp
@@ -15,10 +15,10 @@
 /// the models in its entry change.
 constexpr Common::Milliseconds MISSING_PAUSE{400};
 /// Age from which a limit or Retry-After affects the placement of models.
-constexpr Common::Milliseconds SETTLES_AFTER{2500};
+constexpr Common::Milliseconds LASTING_AFTER{2500};
 /// How long the condition of a removed server is kept, and of how many servers.
-constexpr std::chrono::minutes CONDITION_KEPT{10};
-constexpr std::size_t MAX_CONDITIONS_KEPT = 4096;
+constexpr std::chrono::minutes CONDITION_RETENTION{10};
+constexpr std::size_t MAX_RETAINED_CONDITIONS = 4096;
 } // namespace
 
 Server::Server(ServerEntry entry, std::shared_ptr<ServerCondition> condition)
@@ -41,17 +41,17 @@
   if (!TakesWork(now) || Health().IsEjected(now) || !GetBackoff().MaySend(now) ||
       m_silence.IsSilent(now))
     return false;
-  return !Health().IsOnTrial() || m_in_flight == 0;
+  return !Health().IsRecovering() || m_in_flight == 0;
 }
 
-bool Server::HasSettledLimit(Common::TimePoint now) const
+bool Server::HasLastingLimit(Common::TimePoint now) const
 {
-  return m_limit && now - m_limit->since >= SETTLES_AFTER;
+  return m_limit && now - m_limit->since >= LASTING_AFTER;
 }
 
-bool Server::HasLongBackoff(Common::TimePoint now) const
+bool Server::HasLastingBackoff(Common::TimePoint now) const
 {
-  return GetBackoff().NamedSpan(now) >= SETTLES_AFTER;
+  return GetBackoff().RetryAfterSpan(now) >= LASTING_AFTER;
 }
 
 bool Server::Holds(const Artifact& artifact, Common::TimePoint now) const
@@ -64,7 +64,7 @@
   const auto model = std::ranges::find(m_entry.models, artifact.model, &LoadedModel::model);
   if (model == m_entry.models.end())
     return false;
-  if (m_placement && m_placement->leaving.contains(artifact.model))
+  if (m_placement && m_placement->unloading.contains(artifact.model))
     return false;
   if (!artifact.IsAdapter())
     return true;
@@ -73,21 +73,21 @@
              : std::ranges::find(model->adapters, artifact.adapter) != model->adapters.end();
 }
 
-void Server::SetPlacement(std::set<Artifact> adapters, std::set<ModelId> leaving,
-                          std::set<ModelId> coming)
+void Server::SetPlacement(std::set<Artifact> adapters, std::set<ModelId> unloading,
+                          std::set<ModelId> loading_from_store)
 {
-  m_placement = Placement{std::move(adapters), std::move(leaving), std::move(coming)};
+  m_placement = Placement{std::move(adapters), std::move(unloading), std::move(loading_from_store)};
 }
 
 Decisions::WeightSource Server::SourceOf(const ModelId& model) const
 {
-  const auto lies_in = [&](const std::vector<ModelId>& models) {
+  const auto lists_model = [&](const std::vector<ModelId>& models) {
     return std::ranges::find(models, model) != models.end();
   };
-  if (lies_in(m_entry.in_host_memory))
+  if (lists_model(m_entry.in_host_memory))
     return Decisions::WeightSource::HostMemory;
-  return lies_in(m_entry.on_disk) ? Decisions::WeightSource::Disk
-                                  : Decisions::WeightSource::WeightStore;
+  return lists_model(m_entry.on_disk) ? Decisions::WeightSource::Disk
+                                      : Decisions::WeightSource::WeightStore;
 }
 
 void Server::NoteMissing(const Artifact& artifact, Common::TimePoint now)
@@ -102,7 +102,7 @@
   return Http::OriginConnection::Connect(m_entry.endpoint);
 }
 
-void Server::KeepConnection(std::shared_ptr<Http::OriginConnection> connection)
+void Server::ReturnConnection(std::shared_ptr<Http::OriginConnection> connection)
 {
   m_idle.Keep(std::move(connection), Common::Now());
 }
@@ -164,7 +164,7 @@
   {
     Add(std::move(entry));
     if (is_next_life)
-      TakeOver(*Find(instance), *known);
+      Inherit(*Find(instance), *known);
   }
   else
   {
@@ -179,11 +179,11 @@
     m_on_change();
 }
 
-void ServerDirectory::TakeOver(Server& server, const Server& before)
+void ServerDirectory::Inherit(Server& server, const Server& before)
 {
   const auto now = Common::Now();
-  server.Drain().TakeOver(before.Drain());
-  if (before.GetBackoff().IsNamed(now))
+  server.Drain().Inherit(before.Drain());
+  if (before.GetBackoff().IsRetryAfterActive(now))
     server.GetBackoff() = before.GetBackoff();
 }
 
@@ -219,9 +219,9 @@
 void ServerDirectory::DropOldConditions(Common::TimePoint now)
 {
   std::erase_if(m_removed, [now](const auto& entry) {
-    return now - entry.second.removed_at > CONDITION_KEPT;
+    return now - entry.second.removed_at > CONDITION_RETENTION;
   });
-  if (m_removed.size() >= MAX_CONDITIONS_KEPT)
+  if (m_removed.size() >= MAX_RETAINED_CONDITIONS)
     m_removed.erase(std::ranges::min_element(m_removed, {}, [](const auto& entry) {
       return entry.second.removed_at;
     }));
--- a/Source/Core/Gateway/ServerDirectory.h
+++ b/Source/Core/Gateway/ServerDirectory.h
@@ -67,40 +67,40 @@
   void NoteMissing(const Artifact& artifact, Common::TimePoint now);
   /// Applies the order holder's information, which is more recent than the entry: the loaded
   /// adapters, the models about to be unloaded, and those being loaded from the weight store.
-  void SetPlacement(std::set<Artifact> adapters, std::set<ModelId> leaving,
-                    std::set<ModelId> coming);
+  void SetPlacement(std::set<Artifact> adapters, std::set<ModelId> unloading,
+                    std::set<ModelId> loading_from_store);
   /// True while the server loads the model from the weight store.
-  bool IsComing(const ModelId& model) const
+  bool IsLoadingFromStore(const ModelId& model) const
   {
-    return m_placement && m_placement->coming.contains(model);
+    return m_placement && m_placement->loading_from_store.contains(model);
   }
   /// Where the server would load the model's weights from.
   Decisions::WeightSource SourceOf(const ModelId& model) const;
   /// Falls back to the entry alone, because the order holder does not respond.
-  void ForgetPlacement() { m_placement.reset(); }
+  void ClearPlacement() { m_placement.reset(); }
   void NoteReplaced() { m_condition->replaced = true; }
   bool IsReplaced() const { return m_condition->replaced; }
 
   /// Returns an idle connection or a new one; nullptr if no socket is available.
   std::shared_ptr<Http::OriginConnection> TakeConnection(Common::TimePoint now);
-  void KeepConnection(std::shared_ptr<Http::OriginConnection> connection);
+  void ReturnConnection(std::shared_ptr<Http::OriginConnection> connection);
 
   void NoteStart(const Artifact& artifact, Common::TimePoint now);
   /// Records the end of a request. If the server is silent when its last request ends, it is
   /// ejected, since the next request sent to it would be lost too.
   void NoteEnd(const Artifact& artifact, Common::TimePoint sent_at, Common::TimePoint now);
   /// Records that data was received from the server.
-  void NoteHeard(Common::TimePoint now) { m_silence.NoteHeard(now); }
+  void NoteReceived(Common::TimePoint now) { m_silence.NoteReceived(now); }
   const std::optional<ServerLimit>& Limit() const { return m_limit; }
   void SetLimit(const std::optional<ServerLimit>& limit) { m_limit = limit; }
   /// True if the server has had a limit for so long that its models should be loaded on other
   /// servers too. A brief limit does not change the placement.
-  bool HasSettledLimit(Common::TimePoint now) const;
-  /// Same as HasSettledLimit(), for a server that sent a Retry-After.
-  bool HasLongBackoff(Common::TimePoint now) const;
-  bool IsPlannedAround(Common::TimePoint now) const
+  bool HasLastingLimit(Common::TimePoint now) const;
+  /// Same as HasLastingLimit(), for a server that sent a Retry-After.
+  bool HasLastingBackoff(Common::TimePoint now) const;
+  bool IsThrottled(Common::TimePoint now) const
   {
-    return HasSettledLimit(now) || HasLongBackoff(now);
+    return HasLastingLimit(now) || HasLastingBackoff(now);
   }
   int InFlight() const { return m_in_flight; }
   const std::map<ModelId, int>& InFlightByModel() const { return m_in_flight_by_model; }
@@ -133,8 +133,8 @@
   struct Placement
   {
     std::set<Artifact> adapters;
-    std::set<ModelId> leaving;
-    std::set<ModelId> coming;
+    std::set<ModelId> unloading;
+    std::set<ModelId> loading_from_store;
   };
   std::optional<Placement> m_placement;
   std::map<Artifact, Common::TimePoint> m_missing_until;
@@ -171,7 +171,7 @@
   std::uint64_t Revision() const { return m_revision; }
 
 private:
-  struct KeptCondition
+  struct RetainedCondition
   {
     std::shared_ptr<ServerCondition> condition;
     Common::TimePoint removed_at;
@@ -180,11 +180,12 @@
   void Add(ServerEntry entry);
   /// Copies announcements of the previous incarnation to `server`, which may have sent them itself
   /// before its entry was received.
-  static void TakeOver(Server& server, const Server& before);
+  static void Inherit(Server& server, const Server& before);
   void DropOldConditions(Common::TimePoint now);
 
   std::map<InstanceId, ServerPtr> m_servers;
-  std::map<InstanceId, KeptCondition> m_removed; ///< Conditions of servers whose entry was removed.
+  std::map<InstanceId, RetainedCondition>
+      m_removed; ///< Conditions of servers whose entry was removed.
   Common::Milliseconds m_drain_grace{0};
   std::uint64_t m_revision = 1;
   std::function<void()> m_on_change;
--- a/Source/Core/Gateway/ServerRoster.cpp
+++ b/Source/Core/Gateway/ServerDiscovery.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Gateway/ServerRoster.h"
+#include "Gateway/ServerDiscovery.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,10 +13,10 @@
 namespace
 {
 /// Time within which a running server writes its entry again after a store outage.
-constexpr Common::Milliseconds REENTRY_GRACE{2200};
+constexpr Common::Milliseconds REREGISTRATION_GRACE{2200};
 } // namespace
 
-void ServerRoster::ApplySnapshot(std::vector<ServerEntry> entries, Common::TimePoint now)
+void ServerDiscovery::ApplySnapshot(std::vector<ServerEntry> entries, Common::TimePoint now)
 {
   std::set<std::string> named;
   for (ServerEntry& entry : entries)
@@ -32,15 +32,15 @@
     ApplyRemoval(instance, now);
 }
 
-void ServerRoster::ApplyEntry(ServerEntry entry)
+void ServerDiscovery::ApplyEntry(ServerEntry entry)
 {
-  std::erase_if(m_lapsed, [&](const InstanceId& instance) {
+  std::erase_if(m_expired_entries, [&](const InstanceId& instance) {
     return instance.HasIdOf(entry.instance);
   });
   m_directory.Put(std::move(entry));
 }
 
-void ServerRoster::ApplyRemoval(const InstanceId& instance, Common::TimePoint now)
+void ServerDiscovery::ApplyRemoval(const InstanceId& instance, Common::TimePoint now)
 {
   const ServerPtr server = m_directory.FindLatest(instance);
   if (!server)
@@ -51,32 +51,32 @@
     return;
   }
   Common::LogEvent(Common::LogLevel::Warning, "server-entry-lapsed", {{"instance", instance}});
-  m_lapsed.insert(server->Entry().instance);
+  m_expired_entries.insert(server->Entry().instance);
   m_timer.Start(std::chrono::ceil<Common::Milliseconds>(m_grace_until - now), [this] {
-    RemoveOverdue();
+    RemoveExpired();
   });
 }
 
-void ServerRoster::ApplyUnreadable(const InstanceId& instance)
+void ServerDiscovery::ApplyUnreadable(const InstanceId& instance)
 {
   if (const ServerPtr server = m_directory.FindLatest(instance))
     m_directory.Remove(server->Entry().instance);
 }
 
-void ServerRoster::RemoveOverdue()
+void ServerDiscovery::RemoveExpired()
 {
-  for (const InstanceId& instance : std::exchange(m_lapsed, {}))
+  for (const InstanceId& instance : std::exchange(m_expired_entries, {}))
     m_directory.Remove(instance);
 }
 
-void ServerRoster::NoteSourceLost()
+void ServerDiscovery::NoteStoreLost()
 {
-  m_source_lost = true;
+  m_store_unavailable = true;
 }
 
-void ServerRoster::NoteSourceBack(Common::TimePoint now)
+void ServerDiscovery::NoteStoreRestored(Common::TimePoint now)
 {
-  if (std::exchange(m_source_lost, false))
-    m_grace_until = now + REENTRY_GRACE;
+  if (std::exchange(m_store_unavailable, false))
+    m_grace_until = now + REREGISTRATION_GRACE;
 }
 } // namespace Gateway
--- a/Source/Core/Gateway/ServerRoster.h
+++ b/Source/Core/Gateway/ServerDiscovery.h
@@ -15,10 +15,10 @@
 /// Keeps the directory in sync with the entries on the platform. During an outage of the platform's
 /// store, entries of running servers may expire. Removals seen right after the outage are therefore
 /// delayed, so that the servers can write their entries again.
-class ServerRoster
+class ServerDiscovery
 {
 public:
-  explicit ServerRoster(ServerDirectory& directory) : m_directory(directory) {}
+  explicit ServerDiscovery(ServerDirectory& directory) : m_directory(directory) {}
 
   /// Applies all entries as of one point in time; servers without an entry are removed.
   void ApplySnapshot(std::vector<ServerEntry> entries, Common::TimePoint now);
@@ -27,16 +27,16 @@
   void ApplyRemoval(const InstanceId& instance, Common::TimePoint now);
   /// Removes the server without delay because the entry under the id of `instance` is malformed.
   void ApplyUnreadable(const InstanceId& instance);
-  void NoteSourceLost();
-  void NoteSourceBack(Common::TimePoint now);
+  void NoteStoreLost();
+  void NoteStoreRestored(Common::TimePoint now);
 
 private:
-  void RemoveOverdue();
+  void RemoveExpired();
 
   ServerDirectory& m_directory;
-  bool m_source_lost = false;
+  bool m_store_unavailable = false;
   Common::TimePoint m_grace_until;
-  std::set<InstanceId> m_lapsed;
+  std::set<InstanceId> m_expired_entries;
   Common::OwnedTimer m_timer;
 };
 } // namespace Gateway
--- a/Source/Core/Gateway/ServerHealth.cpp
+++ b/Source/Core/Gateway/ServerHealth.cpp
@@ -34,7 +34,7 @@
 {
   m_failure_share += NEWEST_WEIGHT * (1 - m_failure_share);
   ++m_failures_in_a_row;
-  const bool was_on_trial = IsOnTrial();
+  const bool was_on_trial = IsRecovering();
   if (was_on_trial || m_failures_in_a_row >= EJECT_AFTER_FAILURES ||
       m_failure_share > EJECT_AT_SHARE)
     Eject(now);
--- a/Source/Core/Gateway/ServerHealth.h
+++ b/Source/Core/Gateway/ServerHealth.h
@@ -20,7 +20,7 @@
 
   bool IsEjected(Common::TimePoint now) const { return now < m_ejected_until; }
   /// True from an ejection until the next success: one request at a time probes the server.
-  bool IsOnTrial() const { return m_ejections > 0; }
+  bool IsRecovering() const { return m_ejections > 0; }
   /// Exponentially weighted share of recent requests that failed.
   double FailureShare() const { return m_failure_share; }
 
--- a/Source/Core/Gateway/ServerSignals.cpp
+++ b/Source/Core/Gateway/ServerSignals.cpp
@@ -65,7 +65,7 @@
     const std::string_view text = Common::WithoutTrailingBlanks(value);
     signals.draining = signals.draining || text == DRAINING;
     if (text != DRAINING && text != NOT_DRAINING)
-      signals.unreadable.push_back({names.draining, value});
+      signals.invalid.push_back({names.draining, value});
   }
   if (IsRejectionForLoad(status))
     for (const std::string& value : ValuesOf(headers, names.retry_after))
@@ -74,7 +74,7 @@
       if (span)
         signals.backoff = std::max(signals.backoff.value_or(*span), *span);
       else
-        signals.unreadable.push_back({names.retry_after, value});
+        signals.invalid.push_back({names.retry_after, value});
     }
   const auto limits = ValuesOf(headers, names.request_limit);
   const std::vector<std::string_view> limit_values(limits.begin(), limits.end());
--- a/Source/Core/Gateway/ServerSignals.h
+++ b/Source/Core/Gateway/ServerSignals.h
@@ -17,7 +17,7 @@
 namespace Gateway
 {
 /// A header with an invalid value. The response is treated as if it lacked the header.
-struct UnreadableSignal
+struct InvalidHeader
 {
   std::string header;
   std::string value;
@@ -34,7 +34,7 @@
   /// Retry-After of a rejection: how long this VM should back off. Unset if there is none.
   std::optional<Common::Milliseconds> backoff;
   RateLimits::LimitReading limit;
-  std::vector<UnreadableSignal> unreadable; ///< Except the limit, see LimitReading.
+  std::vector<InvalidHeader> invalid; ///< Except the limit, see LimitReading.
 };
 
 /// Upper bound for a server's Retry-After; longer values are clamped.
--- a/Source/Core/Gateway/SilenceDetector.cpp
+++ b/Source/Core/Gateway/SilenceDetector.cpp
@@ -25,19 +25,19 @@
 constexpr Milliseconds LONGEST_LIMIT{1500};
 /// Number of requests without a response before a server is considered silent. With one, plain
 /// servers were ejected about once a second for requests that they leave unanswered.
-constexpr int UNHEARD_REQUESTS = 2;
+constexpr int MIN_UNANSWERED_REQUESTS = 2;
 } // namespace
 
 void SilenceDetector::NoteSent(Common::TimePoint now)
 {
-  ++m_sent_since_heard;
+  ++m_sent_since_received;
   if (!m_quiet_since)
     m_quiet_since = now;
 }
 
-void SilenceDetector::NoteHeard(Common::TimePoint now)
+void SilenceDetector::NoteReceived(Common::TimePoint now)
 {
-  m_sent_since_heard = 0;
+  m_sent_since_received = 0;
   if (!m_quiet_since)
     return;
   const double pause = std::chrono::duration<double, std::milli>(now - *m_quiet_since).count();
@@ -58,13 +58,13 @@
   if (open > 0)
     return;
   m_quiet_since.reset();
-  m_sent_since_heard = 0;
+  m_sent_since_received = 0;
 }
 
 bool SilenceDetector::IsSilent(Common::TimePoint now) const
 {
   return Common::IsOn(Common::Mechanism::SilenceDetector) && m_quiet_since &&
-         m_sent_since_heard >= UNHEARD_REQUESTS && now - *m_quiet_since > Limit();
+         m_sent_since_received >= MIN_UNANSWERED_REQUESTS && now - *m_quiet_since > Limit();
 }
 
 Milliseconds SilenceDetector::Limit() const
--- a/Source/Core/Gateway/SilenceDetector.h
+++ b/Source/Core/Gateway/SilenceDetector.h
@@ -22,7 +22,7 @@
   /// Records that a request was sent.
   void NoteSent(Common::TimePoint now);
   /// Records that data was received from the server on any connection.
-  void NoteHeard(Common::TimePoint now);
+  void NoteReceived(Common::TimePoint now);
   /// Records that a request ended and that `open` requests are still in flight.
   void NoteEnded(int open);
 
@@ -35,7 +35,7 @@
 private:
   /// Start of the current pause: requests are in flight, and no data has been received since.
   std::optional<Common::TimePoint> m_quiet_since;
-  int m_sent_since_heard = 0;
+  int m_sent_since_received = 0;
   double m_mean_ms = 0;
   double m_deviation_ms = 0;
   bool m_has_sample = false;
--- a/Source/Core/Orders/CrashArchive.cpp
+++ b/Source/Core/Orders/CrashArchive.cpp
@@ -35,13 +35,13 @@
 
 void MakeOlder(Crashes::CaseLine& line, std::int64_t by_ms)
 {
-  for (Crashes::EndingLine& ending : line.endings)
+  for (Crashes::CrashLine& ending : line.server_crashes)
   {
     ending.age_ms += by_ms;
     ending.sent_age_ms += by_ms;
   }
-  if (line.survived_age_ms >= 0)
-    line.survived_age_ms += by_ms;
+  if (line.last_success_age_ms >= 0)
+    line.last_success_age_ms += by_ms;
   line.blocked_for_ms = std::max<std::int64_t>(line.blocked_for_ms - by_ms, 0);
 }
 } // namespace
@@ -71,7 +71,7 @@
   Essence essence;
   for (const Crashes::CaseLine& line : cases)
     if (role == ArchiveRole::Orphan)
-      essence.emplace(line.request, line.blocks, line.endings.size());
+      essence.emplace(line.request, line.blocks, line.server_crashes.size());
     else if (line.blocked_for_ms > 0)
       essence.emplace(line.request, line.blocks, 0);
   return essence;
@@ -83,8 +83,8 @@
   const bool is_new = ledger.Revision() != m_seen_revision || role != m_seen_as;
   if (role == ArchiveRole::Reader || m_calling || now < m_not_before || !is_new)
     return;
-  const std::size_t least_endings = role == ArchiveRole::Orphan ? 1 : 2;
-  std::vector<Crashes::CaseLine> cases = ledger.Worst(least_endings, now);
+  const std::size_t min_crashes = role == ArchiveRole::Orphan ? 1 : 2;
+  std::vector<Crashes::CaseLine> cases = ledger.MostSevere(min_crashes, now);
   m_seen_revision = ledger.Revision();
   m_seen_as = role;
   if (EssenceOf(cases, role) != EssenceOf(m_row, role))
--- a/Source/Core/Orders/Hub.cpp
+++ b/Source/Core/Orders/Hub.cpp
@@ -226,7 +226,7 @@
   const auto now = Common::Now();
   for (const auto& [instance, server] : m_dispatcher.Servers().All())
   {
-    if (server->HasLongBackoff(now))
+    if (server->HasLastingBackoff(now))
       report.backing_off.push_back(HashOf(instance));
     if (server->InFlight() == 0)
       continue;
@@ -246,8 +246,8 @@
   report.handicap_ms = m_settings.handicap.count();
   report.grants_fence = m_dispatcher.Allowances().Tenure();
   report.allowances = m_dispatcher.Allowances().Report(Common::Now());
-  auto seen =
-      m_dispatcher.CrashCases().SeenHereSince(m_own_crashes_confirmed, CRASH_BYTES, Common::Now());
+  auto seen = m_dispatcher.CrashCases().OwnChangesSince(m_own_crashes_confirmed, CRASH_BYTES,
+                                                        Common::Now());
   report.crashes = std::move(seen.lines);
   m_own_crashes_told = seen.to;
   report.crash_revision = m_crash_heard;
@@ -305,7 +305,7 @@
   for (const auto& [instance, server] : m_dispatcher.Servers().All())
   {
     server->SetRemoteInFlight(0);
-    server->ForgetPlacement();
+    server->ClearPlacement();
   }
 }
 
@@ -338,7 +338,8 @@
   const std::size_t placement_room = room.bytes / PLACEMENT_PARTS;
   SetPlacements(report, m_placements.Since(position.placements, placement_room));
   room.bytes -= placement_room;
-  auto cases = m_dispatcher.CrashCases().NewsSince(position.crashes, CRASH_BYTES, Common::Now());
+  auto cases =
+      m_dispatcher.CrashCases().SharedChangesSince(position.crashes, CRASH_BYTES, Common::Now());
   report.crash_from = cases.from;
   report.crash_to = cases.to;
   report.crashes = std::move(cases.lines);
--- a/Source/Core/Orders/OrderDesk.cpp
+++ b/Source/Core/Orders/OrderDesk.cpp
@@ -226,7 +226,7 @@
     CloseOrder(server->Entry().instance, book, "given_up");
     return;
   }
-  if (!server->GetBackoff().IsNamed(now))
+  if (!server->GetBackoff().IsRetryAfterActive(now))
     AskReport(server, book);
 }
 
@@ -272,7 +272,7 @@
 {
   OpenOrder& open = *book.open;
   const auto permit = m_permit();
-  if (!permit || book.adapter_in_exchange || server->GetBackoff().IsNamed(Common::Now()))
+  if (!permit || book.adapter_in_exchange || server->GetBackoff().IsRetryAfterActive(Common::Now()))
   {
     open.next_check = Common::Now();
     return;
--- a/Source/Core/Orders/OrderDeskAdapters.cpp
+++ b/Source/Core/Orders/OrderDeskAdapters.cpp
@@ -55,7 +55,8 @@
     const bool leaving = book.open && book.open->call.operation == OrderCall::Operation::Unload &&
                          book.open->call.artifact.model == artifact.model;
     if (server->IsDraining() || server->Health().IsEjected(now) || leaving ||
-        server->GetBackoff().IsNamed(now) || now < book.unusable_until || !book.state_known)
+        server->GetBackoff().IsRetryAfterActive(now) || now < book.unusable_until ||
+        !book.state_known)
       continue;
     const bool full =
         static_cast<int>(AdaptersOn(*server, book).size()) >= pool.engine->adapter_slots;
--- a/Source/Core/Orders/OrderDeskPlan.cpp
+++ b/Source/Core/Orders/OrderDeskPlan.cpp
@@ -75,7 +75,7 @@
 bool OrderDesk::MayPlanAround(const PlanBook& plan, TimePoint now) const
 {
   const auto limited = std::ranges::count_if(plan.Servers(), [&](const auto& server) {
-    return server->HasSettledLimit(now) || IsBackedOffFrom(*server);
+    return server->HasLastingLimit(now) || IsBackedOffFrom(*server);
   });
   return limited * 2 <= static_cast<std::ptrdiff_t>(plan.Servers().size());
 }
@@ -86,15 +86,15 @@
   const Server& server = *slot.server;
   const ServerBook& book = *slot.book;
   ServerState state;
-  const bool has_limit = plan_around_limits && server.HasSettledLimit(now);
+  const bool has_limit = plan_around_limits && server.HasLastingLimit(now);
   if (has_limit)
     state.requests_per_second = RateLimits::PerSecond(server.Limit()->rate);
   const bool backs_off = plan_around_limits && IsBackedOffFrom(server);
   if (backs_off)
     state.requests_per_second = 0;
   state.draining = server.IsDraining();
-  state.usable = !has_limit && !backs_off && !server.GetBackoff().IsNamed(now) && !state.draining &&
-                 !server.IsReplaced() && !server.Health().IsEjected(now) &&
+  state.usable = !has_limit && !backs_off && !server.GetBackoff().IsRetryAfterActive(now) &&
+                 !state.draining && !server.IsReplaced() && !server.Health().IsEjected(now) &&
                  now >= book.unusable_until && book.state_known;
   state.order_open = book.open.has_value();
   state.reserved_mb = LateLoadsMb(pool, book, now);
--- a/Source/Core/Orders/OrderDeskServers.cpp
+++ b/Source/Core/Orders/OrderDeskServers.cpp
@@ -143,7 +143,7 @@
 void OrderDesk::LearnState(const ServerPtr& server, ServerBook& book, TimePoint now)
 {
   if (book.state_known || book.report_asked || book.open || now < book.next_report ||
-      server->GetBackoff().IsNamed(now))
+      server->GetBackoff().IsRetryAfterActive(now))
     return;
   const auto pool = m_configuration->pools.find(server->Entry().pool);
   if (pool == m_configuration->pools.end() || !pool->second.engine)
--- a/Source/Core/Orders/PermitExchange.cpp
+++ b/Source/Core/Orders/PermitExchange.cpp
@@ -44,7 +44,7 @@
   m_keeper.Begin();
   m_limits_revision = 0;
   RateLimits::LimitBook& limits = m_dispatcher.Limited().Book();
-  Gateway::DrainBook& draining = m_dispatcher.Draining();
+  Gateway::DrainRegistry& draining = m_dispatcher.Draining();
   if (own_tenure)
   {
     limits.BeginTenure(*own_tenure);
@@ -213,7 +213,7 @@
 
 std::vector<RateLimits::ServerKey> PermitExchange::DrainNews(Common::TimePoint now)
 {
-  return m_dispatcher.Draining().NextNews(MAX_NEWS_LINES, now);
+  return m_dispatcher.Draining().NextUpdate(MAX_NEWS_LINES, now);
 }
 
 RateLimits::LimitNews PermitExchange::News(Common::TimePoint now)
--- a/Source/UnitTests/Crashes/CrashLedgerTest.cpp
+++ b/Source/UnitTests/Crashes/CrashLedgerTest.cpp
@@ -44,22 +44,22 @@
   CPPUNIT_TEST(NewsComesInPartsThatFit);
   CPPUNIT_TEST_SUITE_END();
 
-  static ServerLife Life(int number) { return ServerLife("i-" + std::to_string(number)); }
+  static ServerInstance Life(int number) { return ServerInstance("i-" + std::to_string(number)); }
   void End(CrashLedger& ledger, const Fingerprint& request, int life, const char* vm = "vm-1")
   {
-    ledger.NoteEnding(request, Life(life), VmId(vm), m_now - RUN, m_now);
+    ledger.RecordCrash(request, Life(life), VmId(vm), m_now - RUN, m_now);
     m_now += Milliseconds(1000);
   }
   bool IsBlocked(const CrashLedger& ledger, const Fingerprint& request) const
   {
-    return ledger.Judge(request, m_now).blocked;
+    return ledger.BlockStatusOf(request, m_now).blocked;
   }
   /// Sends all cases that one daemon shares to another.
   void Tell(const CrashLedger& from, CrashLedger& to) const
   {
-    for (const CaseLine& line : from.SeenHereSince(0, ALL_BYTES, m_now).lines)
+    for (const CaseLine& line : from.OwnChangesSince(0, ALL_BYTES, m_now).lines)
       to.Merge(line, m_now);
-    for (const CaseLine& line : from.NewsSince(0, ALL_BYTES, m_now).lines)
+    for (const CaseLine& line : from.SharedChangesSince(0, ALL_BYTES, m_now).lines)
       to.Merge(line, m_now);
   }
 
@@ -80,9 +80,9 @@
     CrashLedger ledger;
     for (const char* vm : {"vm-1", "vm-2", "vm-3"})
       End(ledger, CRASHER, 1, vm);
-    CPPUNIT_ASSERT_EQUAL(1, ledger.Judge(CRASHER, m_now).endings);
+    CPPUNIT_ASSERT_EQUAL(1, ledger.BlockStatusOf(CRASHER, m_now).server_crashes);
     CPPUNIT_ASSERT_EQUAL(std::size_t(3),
-                         ledger.Find(CRASHER, m_now)->endings.front().seen_by.size());
+                         ledger.Find(CRASHER, m_now)->server_crashes.front().seen_by.size());
   }
 
   void WhatTwoDaemonsSawAddsUp()
@@ -107,13 +107,13 @@
     CrashLedger holder;
     End(daemon, CRASHER, 1);
     End(daemon, CRASHER, 2);
-    const CaseLine late = daemon.SeenHereSince(0, ALL_BYTES, m_now).lines.front();
+    const CaseLine late = daemon.OwnChangesSince(0, ALL_BYTES, m_now).lines.front();
     Tell(daemon, holder);
     const std::uint64_t revision = holder.Revision();
     Tell(daemon, holder);
     holder.Merge(late, m_now + Milliseconds(3000));
     CPPUNIT_ASSERT_EQUAL(revision, holder.Revision());
-    CPPUNIT_ASSERT_EQUAL(2, holder.Judge(CRASHER, m_now).endings);
+    CPPUNIT_ASSERT_EQUAL(2, holder.BlockStatusOf(CRASHER, m_now).server_crashes);
   }
 
   void AGoodEndClears()
@@ -121,9 +121,9 @@
     CrashLedger ledger;
     for (int life = 1; life <= 3; ++life)
       End(ledger, CRASHER, life);
-    ledger.NoteSurvival(CRASHER, m_now);
+    ledger.NoteRequestSuccess(CRASHER, m_now);
     CPPUNIT_ASSERT(!IsBlocked(ledger, CRASHER));
-    CPPUNIT_ASSERT_EQUAL(0, ledger.Judge(CRASHER, m_now).endings);
+    CPPUNIT_ASSERT_EQUAL(0, ledger.BlockStatusOf(CRASHER, m_now).server_crashes);
   }
 
   void AGoodEndClearsAlsoForLaterWordOfOldEndings()
@@ -133,12 +133,12 @@
     End(daemon, CRASHER, 1);
     End(holder, CRASHER, 2);
     End(holder, CRASHER, 3);
-    holder.NoteSurvival(CRASHER, m_now);
+    holder.NoteRequestSuccess(CRASHER, m_now);
     m_now += Milliseconds(3000);
     Tell(daemon, holder);
-    CPPUNIT_ASSERT_EQUAL(0, holder.Judge(CRASHER, m_now).endings);
+    CPPUNIT_ASSERT_EQUAL(0, holder.BlockStatusOf(CRASHER, m_now).server_crashes);
     Tell(holder, daemon);
-    CPPUNIT_ASSERT_EQUAL(0, daemon.Judge(CRASHER, m_now).endings);
+    CPPUNIT_ASSERT_EQUAL(0, daemon.BlockStatusOf(CRASHER, m_now).server_crashes);
   }
 
   /// A harmless request repeatedly runs on the same servers as a crashing one, and completes
@@ -149,10 +149,10 @@
     for (int life = 1; life <= 8; ++life)
     {
       End(ledger, CRASHER, life);
-      ledger.NoteEnding(BESIDE, Life(life), VmId("vm-1"), m_now - RUN, m_now);
+      ledger.RecordCrash(BESIDE, Life(life), VmId("vm-1"), m_now - RUN, m_now);
       if (life % 2 == 0)
-        ledger.NoteSurvival(BESIDE, m_now);
-      m_now += CrashLedger::TRUSTED_FOR;
+        ledger.NoteRequestSuccess(BESIDE, m_now);
+      m_now += CrashLedger::SUCCESS_GRACE;
     }
     CPPUNIT_ASSERT(IsBlocked(ledger, CRASHER));
     CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
@@ -162,14 +162,14 @@
   void AnEarlierGoodEndTakesTheBlockBack()
   {
     CrashLedger ledger;
-    const TimePoint survived_at = m_now;
-    m_now += CrashLedger::TRUSTED_FOR * 2;
+    const TimePoint last_success = m_now;
+    m_now += CrashLedger::SUCCESS_GRACE * 2;
     for (int life = 1; life <= 3; ++life)
       End(ledger, BESIDE, life);
     CPPUNIT_ASSERT(IsBlocked(ledger, BESIDE));
     CrashLedger other;
     Tell(ledger, other);
-    other.NoteEarlierSurvival(BESIDE, survived_at, m_now);
+    other.NoteEarlierSuccess(BESIDE, last_success, m_now);
     CPPUNIT_ASSERT(!IsBlocked(other, BESIDE));
     Tell(other, ledger);
     CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
@@ -185,8 +185,8 @@
   {
     CrashLedger ledger;
     for (int life = 1; life <= 8; ++life)
-      ledger.NoteEnding(BESIDE, Life(life), VmId("vm-1"), m_now - RUN, m_now + Milliseconds(life));
-    CPPUNIT_ASSERT_EQUAL(1, ledger.Judge(BESIDE, m_now).endings);
+      ledger.RecordCrash(BESIDE, Life(life), VmId("vm-1"), m_now - RUN, m_now + Milliseconds(life));
+    CPPUNIT_ASSERT_EQUAL(1, ledger.BlockStatusOf(BESIDE, m_now).server_crashes);
     End(ledger, BESIDE, 9);
     CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
   }
@@ -217,7 +217,7 @@
     CPPUNIT_ASSERT(!IsBlocked(ledger, CRASHER));
     CPPUNIT_ASSERT(!IsBlocked(other, CRASHER));
     End(ledger, CRASHER, 5);
-    CPPUNIT_ASSERT(ledger.Judge(CRASHER, m_now).blocked_for > CrashLedger::FIRST_BLOCK);
+    CPPUNIT_ASSERT(ledger.BlockStatusOf(CRASHER, m_now).blocked_for > CrashLedger::FIRST_BLOCK);
   }
 
   void ManyCrashersAreBounded()
@@ -226,10 +226,10 @@
     for (int life = 1; life <= 3; ++life)
       End(ledger, CRASHER, life);
     for (std::uint64_t i = 100; i < 10100; ++i)
-      ledger.NoteEnding({i, i, i}, Life(static_cast<int>(i)), VmId("vm-1"), m_now - RUN, m_now);
+      ledger.RecordCrash({i, i, i}, Life(static_cast<int>(i)), VmId("vm-1"), m_now - RUN, m_now);
     CPPUNIT_ASSERT(ledger.Cases() <= CrashLedger::MAX_CASES);
     CPPUNIT_ASSERT(IsBlocked(ledger, CRASHER));
-    CPPUNIT_ASSERT(!ledger.MayKnow(100));
+    CPPUNIT_ASSERT(!ledger.MayContain(100));
   }
 
   /// A VM's clock starts at its boot, so exits that others observed before that have negative
@@ -240,11 +240,11 @@
     End(others, CRASHER, 1);
     End(others, CRASHER, 2);
     m_now += Milliseconds(60000);
-    const CaseLine line = others.SeenHereSince(0, ALL_BYTES, m_now).lines.front();
+    const CaseLine line = others.OwnChangesSince(0, ALL_BYTES, m_now).lines.front();
     m_now = TimePoint(std::chrono::seconds(5));
     CrashLedger started;
     started.Merge(line, m_now);
-    CPPUNIT_ASSERT_EQUAL(2, started.Judge(CRASHER, m_now).endings);
+    CPPUNIT_ASSERT_EQUAL(2, started.BlockStatusOf(CRASHER, m_now).server_crashes);
   }
 
   void NewsComesInPartsThatFit()
@@ -253,13 +253,13 @@
     CrashLedger ledger;
     for (std::uint64_t i = 0; i < CRASHERS; ++i)
       for (int life = 0; life < 2; ++life)
-        ledger.NoteEnding({i, i, i}, Life(life), VmId("vm-1"), m_now - RUN, m_now);
+        ledger.RecordCrash({i, i, i}, Life(life), VmId("vm-1"), m_now - RUN, m_now);
     std::size_t told = 0;
     std::uint64_t position = 0;
     for (int part = 0; position < ledger.Revision(); ++part)
     {
       CPPUNIT_ASSERT(part < 20);
-      const CaseNews news = ledger.NewsSince(position, 4000, m_now);
+      const CaseUpdate news = ledger.SharedChangesSince(position, 4000, m_now);
       told += news.lines.size();
       position = news.to;
     }
--- a/Source/UnitTests/Crashes/CrashReplayTest.cpp
+++ b/Source/UnitTests/Crashes/CrashReplayTest.cpp
@@ -69,8 +69,8 @@
 class Replay
 {
 public:
-  Replay(std::uint64_t seed, const Load& load, int endings_to_block)
-      : m_random(seed), m_load(load), m_ledgers(DAEMONS, CrashLedger(endings_to_block))
+  Replay(std::uint64_t seed, const Load& load, int crashes_to_block)
+      : m_random(seed), m_load(load), m_ledgers(DAEMONS, CrashLedger(crashes_to_block))
   {
     m_servers.resize(SERVERS);
     for (Server& server : m_servers)
@@ -136,7 +136,7 @@
   /// Returns false if the request is blocked for crashing servers.
   bool Send(const Fingerprint& request, bool is_crasher, int sends, std::size_t daemon)
   {
-    if (m_ledgers[daemon].Judge(request, m_now).blocked)
+    if (m_ledgers[daemon].BlockStatusOf(request, m_now).blocked)
       return false;
     std::vector<Server*> up;
     for (Server& server : m_servers)
@@ -176,7 +176,7 @@
         if (!run.is_crasher)
         {
           const std::uint64_t before = m_ledgers[run.daemon].OwnRevision();
-          m_ledgers[run.daemon].NoteSurvival(run.request, m_now);
+          m_ledgers[run.daemon].NoteRequestSuccess(run.request, m_now);
           m_successes[run.daemon].Note(run.request.low, m_now);
           Tell(run.daemon, before);
         }
@@ -208,7 +208,7 @@
   void End(Server& server)
   {
     const auto runs = std::exchange(server.runs, {});
-    const ServerLife life("s-" + std::to_string(server.life));
+    const ServerInstance life("s-" + std::to_string(server.life));
     server.life = ++m_lives;
     server.back_at = m_now + SERVER_DOWN;
     std::map<std::size_t, std::uint64_t> revisions;
@@ -217,8 +217,8 @@
 
       CrashLedger& ledger = m_ledgers[run.daemon];
       revisions.emplace(run.daemon, ledger.OwnRevision());
-      ledger.NoteEnding(run.request, life, Common::VmId(std::to_string(run.daemon)), run.sent_at,
-                        m_now, m_successes[run.daemon].LastOf(run.request.low, m_now));
+      ledger.RecordCrash(run.request, life, Common::VmId(std::to_string(run.daemon)), run.sent_at,
+                         m_now, m_successes[run.daemon].LastOf(run.request.low, m_now));
     }
     for (const auto& [daemon, revision] : revisions)
       Tell(daemon, revision);
@@ -232,7 +232,7 @@
   void Tell(std::size_t daemon, std::uint64_t since)
   {
     constexpr std::size_t ALL_BYTES = 1 << 20;
-    for (CaseLine& line : m_ledgers[daemon].SeenHereSince(since, ALL_BYTES, m_now).lines)
+    for (CaseLine& line : m_ledgers[daemon].OwnChangesSince(since, ALL_BYTES, m_now).lines)
       m_words.push({m_now + WORD_TAKES, std::move(line)});
   }
 
@@ -248,21 +248,21 @@
     CrashLedger& ledger = m_ledgers[daemon];
     const std::uint64_t before = ledger.OwnRevision();
     ledger.Merge(line, m_now);
-    if (const auto survived_at = m_successes[daemon].LastOf(line.request.quick, m_now))
-      ledger.NoteEarlierSurvival(line.request, *survived_at, m_now);
+    if (const auto last_success = m_successes[daemon].LastOf(line.request.quick, m_now))
+      ledger.NoteEarlierSuccess(line.request, *last_success, m_now);
     if (ledger.OwnRevision() != before)
       Tell(daemon, before);
   }
 
   static CaseLine Aged(CaseLine line)
   {
-    for (EndingLine& ending : line.endings)
+    for (CrashLine& ending : line.server_crashes)
     {
       ending.age_ms += WORD_TAKES.count();
       ending.sent_age_ms += WORD_TAKES.count();
     }
-    if (line.survived_age_ms >= 0)
-      line.survived_age_ms += WORD_TAKES.count();
+    if (line.last_success_age_ms >= 0)
+      line.last_success_age_ms += WORD_TAKES.count();
     return line;
   }
 
@@ -280,13 +280,13 @@
   TimePoint m_now{std::chrono::hours(1)};
 };
 
-Outcome Sum(const Load& load, int endings_to_block)
+Outcome Sum(const Load& load, int crashes_to_block)
 {
   constexpr std::uint64_t SEEDS = 8;
   Outcome sum;
   for (std::uint64_t seed = 1; seed <= SEEDS; ++seed)
   {
-    const Outcome one = Replay(seed, load, endings_to_block).Run();
+    const Outcome one = Replay(seed, load, crashes_to_block).Run();
     sum.honest += one.honest;
     sum.honest_refused += one.honest_refused;
     sum.crashers_ended += one.crashers_ended;
@@ -308,14 +308,14 @@
   /// refused, including repeated identical ones.
   static void Check(const char* name, const Load& load)
   {
-    for (const int endings : {2, CrashLedger::ENDINGS_TO_BLOCK})
+    for (const int server_crashes : {2, CrashLedger::CRASHES_TO_BLOCK})
     {
-      const Outcome outcome = Sum(load, endings);
-      CPPUNIT_NS::stdCOut() << name << ": blocked after " << endings << ": harmless refused "
+      const Outcome outcome = Sum(load, server_crashes);
+      CPPUNIT_NS::stdCOut() << name << ": blocked after " << server_crashes << ": harmless refused "
                             << outcome.honest_refused << " of " << outcome.honest
                             << ", servers crashed " << outcome.crashers_ended << ", most by one "
                             << outcome.most_by_one << ", late sends " << outcome.late_sends << "\n";
-      if (endings < CrashLedger::ENDINGS_TO_BLOCK)
+      if (server_crashes < CrashLedger::CRASHES_TO_BLOCK)
         continue;
       CPPUNIT_ASSERT(outcome.late_sends <= 3);
       CPPUNIT_ASSERT(outcome.honest_refused * 1000 < outcome.honest);
--- a/Source/UnitTests/Gateway/BackoffTest.cpp
+++ b/Source/UnitTests/Gateway/BackoffTest.cpp
@@ -113,16 +113,16 @@
   void RenewedTimesAddUp()
   {
     Backoff backoff;
-    CPPUNIT_ASSERT(backoff.NamedSpan(At(0)) == Milliseconds(0));
+    CPPUNIT_ASSERT(backoff.RetryAfterSpan(At(0)) == Milliseconds(0));
     backoff.NoteRetryAfter(Milliseconds(1000), At(0));
-    CPPUNIT_ASSERT(backoff.NamedSpan(At(0)) == Milliseconds(1000));
+    CPPUNIT_ASSERT(backoff.RetryAfterSpan(At(0)) == Milliseconds(1000));
     backoff.NoteStart(At(1000));
     backoff.NoteRetryAfter(Milliseconds(1000), At(1100));
-    CPPUNIT_ASSERT(backoff.NamedSpan(At(1100)) == Milliseconds(2100));
+    CPPUNIT_ASSERT(backoff.RetryAfterSpan(At(1100)) == Milliseconds(2100));
     backoff.NoteStart(At(2100));
     backoff.NoteAccepted(At(2100), SLOTS);
     backoff.NoteRetryAfter(Milliseconds(1000), At(2200));
-    CPPUNIT_ASSERT(backoff.NamedSpan(At(2200)) == Milliseconds(1000));
+    CPPUNIT_ASSERT(backoff.RetryAfterSpan(At(2200)) == Milliseconds(1000));
   }
 
   void WhoWaitsIsServedFirstAndNotAllAtOnce()
@@ -211,8 +211,10 @@
     world.AddServer("i-1", server.Address());
     world.Ask(ONCE_PATH, "id-1");
     CPPUNIT_ASSERT(world.CallerGot("ran") || arrivals == 1);
-    CPPUNIT_ASSERT(
-        !world.dispatcher.Servers().Find(InstanceId("i-1"))->GetBackoff().IsNamed(Common::Now()));
+    CPPUNIT_ASSERT(!world.dispatcher.Servers()
+                        .Find(InstanceId("i-1"))
+                        ->GetBackoff()
+                        .IsRetryAfterActive(Common::Now()));
   }
 
   void ALimitAndABackoffBothCount()
@@ -243,7 +245,7 @@
     world.Ask(PLAIN_PATH, "id-1");
     RunFor(Milliseconds(50));
     const ServerPtr known = world.dispatcher.Servers().Find(InstanceId("i-1"));
-    CPPUNIT_ASSERT(known->GetBackoff().IsNamed(Common::Now()));
+    CPPUNIT_ASSERT(known->GetBackoff().IsRetryAfterActive(Common::Now()));
     const auto renewed = Common::Now();
     ServerSignals signals;
     signals.backoff = Milliseconds(30000);
--- a/Source/UnitTests/Gateway/EndDetectorTest.cpp
+++ b/Source/UnitTests/Gateway/CrashDetectorTest.cpp
@@ -3,7 +3,7 @@
 
 // Tests when a backend server is considered to have exited, and which requests are suspected.
 
-#include "Gateway/EndDetector.h"
+#include "Gateway/CrashDetector.h"
 
 #include <array>
 #include <memory>
@@ -35,12 +35,12 @@
 public:
   World()
   {
-    detector.OnEnded([this](const InstanceId&, Common::TimePoint, const auto& suspects) {
-      for (const EndDetector::Suspect& suspect : suspects)
-        ended.push_back(suspect.request);
+    detector.OnCrashed([this](const InstanceId&, Common::TimePoint, const auto& suspects) {
+      for (const CrashDetector::Suspect& suspect : suspects)
+        suspected.push_back(suspect.request);
     });
-    detector.OnSettled([this] {
-      settled = true;
+    detector.OnCheckDone([this] {
+      check_done = true;
     });
     entry.instance = InstanceId("i-1");
     entry.endpoint = process->Address();
@@ -50,26 +50,26 @@
   ServerPtr Server() { return directory.All().begin()->second; }
   void Break(const Fingerprint& request, std::optional<Milliseconds> ran_for = std::nullopt)
   {
-    detector.NoteBroken(Server(), {request, Common::Now(), std::nullopt, ran_for});
+    detector.NoteConnectionBroken(Server(), {request, Common::Now(), std::nullopt, ran_for});
   }
-  bool Settles()
+  bool CheckCompletes()
   {
     return RunUntil([&] {
-      return settled;
+      return check_done;
     });
   }
 
   ServerDirectory directory;
   ServerEntry entry;
   std::unique_ptr<TestServer> process = std::make_unique<TestServer>([](auto&, const auto&) {});
-  EndDetector detector{directory};
-  std::vector<Fingerprint> ended;
-  bool settled = false;
+  CrashDetector detector{directory};
+  std::vector<Fingerprint> suspected;
+  bool check_done = false;
 };
 
-class EndDetectorTest : public CppUnit::TestFixture
+class CrashDetectorTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(EndDetectorTest);
+  CPPUNIT_TEST_SUITE(CrashDetectorTest);
   CPPUNIT_TEST(ARefusedConnectionSettlesIt);
   CPPUNIT_TEST(AnotherRequestsRefusalSettlesItAtOnce);
   CPPUNIT_TEST(AResetConnectionOfALivingServerIsNoEnd);
@@ -84,27 +84,27 @@
     World world;
     world.process.reset();
     world.Break(NEW);
-    CPPUNIT_ASSERT(world.detector.IsInDoubt(NEW));
-    CPPUNIT_ASSERT(world.Settles());
-    CPPUNIT_ASSERT(world.ended == std::vector{NEW});
-    CPPUNIT_ASSERT(!world.detector.IsInDoubt(NEW));
+    CPPUNIT_ASSERT(world.detector.IsCheckPending(NEW));
+    CPPUNIT_ASSERT(world.CheckCompletes());
+    CPPUNIT_ASSERT(world.suspected == std::vector{NEW});
+    CPPUNIT_ASSERT(!world.detector.IsCheckPending(NEW));
   }
 
   void AnotherRequestsRefusalSettlesItAtOnce()
   {
     World world;
     world.Break(NEW);
-    world.detector.NoteRefused(world.Server());
-    CPPUNIT_ASSERT(world.settled);
-    CPPUNIT_ASSERT(world.ended == std::vector{NEW});
+    world.detector.NoteConnectionRefused(world.Server());
+    CPPUNIT_ASSERT(world.check_done);
+    CPPUNIT_ASSERT(world.suspected == std::vector{NEW});
   }
 
   void AResetConnectionOfALivingServerIsNoEnd()
   {
     World world;
     world.Break(NEW);
-    CPPUNIT_ASSERT(world.Settles());
-    CPPUNIT_ASSERT(world.ended.empty());
+    CPPUNIT_ASSERT(world.CheckCompletes());
+    CPPUNIT_ASSERT(world.suspected.empty());
   }
 
   /// During a network partition a connection attempt is not even refused. This is simulated by a
@@ -126,8 +126,8 @@
     UnitTests::RunFor(Milliseconds(20));
     world.directory.Put(world.entry);
     world.Break(NEW);
-    CPPUNIT_ASSERT(world.Settles());
-    CPPUNIT_ASSERT(world.ended.empty());
+    CPPUNIT_ASSERT(world.CheckCompletes());
+    CPPUNIT_ASSERT(world.suspected.empty());
     close(fd);
   }
 
@@ -141,8 +141,8 @@
     world.Break(NEW);
     // Some servers never announce draining: their entry is removed while they still serve.
     world.directory.Remove(world.entry.instance);
-    world.detector.NoteBroken(listed, {NEW, Common::Now(), std::nullopt, std::nullopt});
-    CPPUNIT_ASSERT(!world.detector.IsInDoubt(NEW));
+    world.detector.NoteConnectionBroken(listed, {NEW, Common::Now(), std::nullopt, std::nullopt});
+    CPPUNIT_ASSERT(!world.detector.IsCheckPending(NEW));
   }
 
   void AnEarlierLifesEndIsNobodysFault()
@@ -151,8 +151,8 @@
     const ServerPtr before = world.Server();
     world.entry.instance = InstanceId("i-1", ServerStart(5));
     world.directory.Put(world.entry);
-    world.detector.NoteBroken(before, {NEW, Common::Now(), std::nullopt, std::nullopt});
-    CPPUNIT_ASSERT(!world.detector.IsInDoubt(NEW));
+    world.detector.NoteConnectionBroken(before, {NEW, Common::Now(), std::nullopt, std::nullopt});
+    CPPUNIT_ASSERT(!world.detector.IsCheckPending(NEW));
   }
 
   void WhatHadRunForLongIsSuspectedLast()
@@ -161,16 +161,16 @@
     world.process.reset();
     world.Break(OLD, LONG_RUN);
     world.Break(NEW, Milliseconds(20));
-    CPPUNIT_ASSERT(world.Settles());
-    CPPUNIT_ASSERT(world.ended == std::vector{NEW});
+    CPPUNIT_ASSERT(world.CheckCompletes());
+    CPPUNIT_ASSERT(world.suspected == std::vector{NEW});
 
     World alone;
     alone.process.reset();
     alone.Break(OLD, LONG_RUN);
-    CPPUNIT_ASSERT(alone.Settles());
-    CPPUNIT_ASSERT(alone.ended == std::vector{OLD});
+    CPPUNIT_ASSERT(alone.CheckCompletes());
+    CPPUNIT_ASSERT(alone.suspected == std::vector{OLD});
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(EndDetectorTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(CrashDetectorTest);
 } // namespace
--- a/Source/UnitTests/Gateway/DrainStateTest.cpp
+++ b/Source/UnitTests/Gateway/DrainStateTest.cpp
@@ -8,10 +8,10 @@
 
 #include <cppunit/extensions/HelperMacros.h>
 
-#include "Gateway/DrainBook.h"
+#include "Gateway/DrainRegistry.h"
 #include "Gateway/DrainState.h"
 #include "Gateway/ServerDirectory.h"
-#include "Gateway/ServerRoster.h"
+#include "Gateway/ServerDiscovery.h"
 
 namespace
 {
@@ -121,23 +121,23 @@
     before->GetBackoff().NoteRetryAfter(Milliseconds(3000), told_at);
     directory.Put(EntryOf(2));
     const ServerPtr next = directory.FindLatest(InstanceId("i-1"));
-    CPPUNIT_ASSERT(next->GetBackoff().IsNamed(told_at));
+    CPPUNIT_ASSERT(next->GetBackoff().IsRetryAfterActive(told_at));
     next->Drain().NoteAnnounced(told_at + GRACE * 2);
     CPPUNIT_ASSERT(!next->TakesWork(told_at + GRACE * 2));
   }
 
   void OldNewsIsForgottenAndNotToldAnew()
   {
-    DrainBook holder;
-    DrainBook daemon;
+    DrainRegistry holder;
+    DrainRegistry daemon;
     holder.BeginTenure(1);
     holder.Note(ServerKey(7), START);
-    daemon.TakeNews(1, holder.NextNews(10, START), START);
+    daemon.ApplyUpdate(1, holder.NextUpdate(10, START), START);
     const auto later = START + std::chrono::minutes(11);
-    CPPUNIT_ASSERT(holder.NextNews(10, later).empty() && holder.Empty());
-    daemon.TakeNews(1, {}, later);
+    CPPUNIT_ASSERT(holder.NextUpdate(10, later).empty() && holder.Empty());
+    daemon.ApplyUpdate(1, {}, later);
     CPPUNIT_ASSERT(daemon.Unconfirmed().empty());
-    daemon.TakeNews(1, {}, START + std::chrono::minutes(21));
+    daemon.ApplyUpdate(1, {}, START + std::chrono::minutes(21));
     CPPUNIT_ASSERT(daemon.Empty());
   }
 
@@ -160,7 +160,7 @@
         return random() % bound;
       };
       constexpr std::size_t DAEMONS = 12;
-      std::vector<DrainBook> books(DAEMONS);
+      std::vector<DrainRegistry> books(DAEMONS);
       std::deque<Message> on_the_way;
       const auto send = [&](const Message& message) {
         for (unsigned copies = draw(10) < 2 ? 0 : 1 + draw(2); copies > 0; --copies)
@@ -188,20 +188,20 @@
           if (const auto unconfirmed = books[i].Unconfirmed(); !unconfirmed.empty())
             send({now, holder, tenure, false, unconfirmed});
         for (std::size_t i = 0; i < DAEMONS; ++i)
-          send({now, i, tenure, true, books[holder].NextNews(1, now)});
+          send({now, i, tenure, true, books[holder].NextUpdate(1, now)});
         std::deque<Message> later;
         for (const Message& message : on_the_way)
         {
           if (message.arrives_at > now)
             later.push_back(message);
           else if (message.is_news)
-            books[message.to].TakeNews(message.tenure, message.servers, now);
+            books[message.to].ApplyUpdate(message.tenure, message.servers, now);
           else if (message.to == holder && message.tenure == tenure)
             books[holder].Note(message.servers.front(), now);
         }
         on_the_way = later;
       }
-      CPPUNIT_ASSERT(std::ranges::all_of(books, [&](const DrainBook& book) {
+      CPPUNIT_ASSERT(std::ranges::all_of(books, [&](const DrainRegistry& book) {
         return book.Contains(server) && book.Unconfirmed().empty();
       }));
     }
--- a/Source/UnitTests/Gateway/PartsTest.cpp
+++ b/Source/UnitTests/Gateway/PartsTest.cpp
@@ -1,15 +1,15 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Small classes of the gateway: EventSplitter, RetryBudget, ServerHealth, ServerRoster, and the
+// Small classes of the gateway: EventSplitter, RetryBudget, ServerHealth, ServerDiscovery, and the
 // route lookup.
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "Gateway/EventSplitter.h"
 #include "Gateway/RetryBudget.h"
+#include "Gateway/ServerDiscovery.h"
 #include "Gateway/ServerHealth.h"
-#include "Gateway/ServerRoster.h"
 #include "UnitTests/Support/Loopback.h"
 
 namespace
@@ -79,13 +79,13 @@
     CPPUNIT_ASSERT(health.IsEjected(now));
     now += Milliseconds(800);
     CPPUNIT_ASSERT(!health.IsEjected(now));
-    CPPUNIT_ASSERT(health.IsOnTrial());
+    CPPUNIT_ASSERT(health.IsRecovering());
     health.NoteFailure(now);
     now += Milliseconds(800);
     CPPUNIT_ASSERT(health.IsEjected(now));
     now += Milliseconds(800);
     health.NoteSuccess(now);
-    CPPUNIT_ASSERT(!health.IsOnTrial());
+    CPPUNIT_ASSERT(!health.IsRecovering());
   }
 
   void TheLongestPrefixOfTheHostWins()
@@ -117,15 +117,15 @@
   void ALapsedEntryWaitsOutTheGrace()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
+    ServerDiscovery discovery(directory);
     const auto now = Common::Now();
-    roster.ApplyEntry(Entry("i-1"));
-    roster.ApplyEntry(Entry("i-2"));
-    roster.NoteSourceLost();
-    roster.NoteSourceBack(now);
-    roster.ApplySnapshot({}, now);
+    discovery.ApplyEntry(Entry("i-1"));
+    discovery.ApplyEntry(Entry("i-2"));
+    discovery.NoteStoreLost();
+    discovery.NoteStoreRestored(now);
+    discovery.ApplySnapshot({}, now);
     CPPUNIT_ASSERT(directory.Find(InstanceId("i-1")) != nullptr);
-    roster.ApplyEntry(Entry("i-1"));
+    discovery.ApplyEntry(Entry("i-1"));
     CPPUNIT_ASSERT(UnitTests::RunUntil([&] {
       return directory.Find(InstanceId("i-2")) == nullptr;
     }));
@@ -135,21 +135,21 @@
   void ARemovalInCalmTimesHoldsAtOnce()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(Entry("i-1"));
-    roster.ApplyRemoval(InstanceId("i-1"), Common::Now());
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(Entry("i-1"));
+    discovery.ApplyRemoval(InstanceId("i-1"), Common::Now());
     CPPUNIT_ASSERT(directory.Empty());
   }
 
   void ADrainingServerGoesWithoutGrace()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
+    ServerDiscovery discovery(directory);
     const auto now = Common::Now();
-    roster.ApplyEntry(Entry("i-1", true));
-    roster.NoteSourceLost();
-    roster.NoteSourceBack(now);
-    roster.ApplyRemoval(InstanceId("i-1"), now);
+    discovery.ApplyEntry(Entry("i-1", true));
+    discovery.NoteStoreLost();
+    discovery.NoteStoreRestored(now);
+    discovery.ApplyRemoval(InstanceId("i-1"), now);
     CPPUNIT_ASSERT(directory.Empty());
   }
 };
--- a/Source/UnitTests/Gateway/ServerLivesTest.cpp
+++ b/Source/UnitTests/Gateway/ServerRestartTest.cpp
@@ -11,7 +11,7 @@
 
 #include "Common/Loop.h"
 #include "Gateway/ServerDirectory.h"
-#include "Gateway/ServerRoster.h"
+#include "Gateway/ServerDiscovery.h"
 #include "platform/Decode.h"
 
 namespace
@@ -32,9 +32,9 @@
 constexpr const char* HOLDS_M = R"({"name":"m","version":1,"adapters":[]})";
 const Artifact MODEL{ModelId("m"), AdapterId()};
 
-class ServerLivesTest : public CppUnit::TestFixture
+class ServerRestartTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(ServerLivesTest);
+  CPPUNIT_TEST_SUITE(ServerRestartTest);
   CPPUNIT_TEST(ANewStartVoidsWhatWasBelieved);
   CPPUNIT_TEST(AnEntryOfTheLifeBeforeChangesNothing);
   CPPUNIT_TEST(TwoRestartsBetweenTwoLooks);
@@ -51,8 +51,8 @@
   void ANewStartVoidsWhatWasBelieved()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(1000, HOLDS_M));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
     const ServerPtr before = directory.All().begin()->second;
     const auto now = Common::Now();
     before->NoteStart(MODEL, now);
@@ -62,7 +62,7 @@
     before->Health().NoteUnreachable(now);
     const std::uint64_t revision = directory.Revision();
 
-    roster.ApplyEntry(EntryOf(2000, HOLDS_M));
+    discovery.ApplyEntry(EntryOf(2000, HOLDS_M));
     const Server& after = TheServer(directory);
     CPPUNIT_ASSERT(after.IsAvailable(now));
     CPPUNIT_ASSERT(after.Holds(MODEL, now));
@@ -73,21 +73,21 @@
   void AnEntryOfTheLifeBeforeChangesNothing()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(2000, ""));
-    roster.ApplyEntry(EntryOf(1000, HOLDS_M));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(2000, ""));
+    discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
     CPPUNIT_ASSERT(!TheServer(directory).HoldsModel(ModelId("m")));
   }
 
   void TwoRestartsBetweenTwoLooks()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(1000, ""));
-    roster.ApplyEntry(EntryOf(3000, HOLDS_M));
-    roster.ApplyEntry(EntryOf(2000, ""));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(1000, ""));
+    discovery.ApplyEntry(EntryOf(3000, HOLDS_M));
+    discovery.ApplyEntry(EntryOf(2000, ""));
     CPPUNIT_ASSERT(TheServer(directory).HoldsModel(ModelId("m")));
-    roster.ApplyRemoval(InstanceId("i-1"), Common::Now());
+    discovery.ApplyRemoval(InstanceId("i-1"), Common::Now());
     CPPUNIT_ASSERT(directory.Empty());
   }
 
@@ -95,10 +95,10 @@
   void TheServerOfARequestIsGoneWithItsLife()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(1000, HOLDS_M));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
     const InstanceId asked = directory.All().begin()->first;
-    roster.ApplyEntry(EntryOf(2000, HOLDS_M));
+    discovery.ApplyEntry(EntryOf(2000, HOLDS_M));
     CPPUNIT_ASSERT(directory.Find(asked) == nullptr);
   }
 
@@ -107,14 +107,14 @@
   void AnEntryThatCannotBeReadNamesNoServer()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(1000, HOLDS_M));
-    roster.NoteSourceLost();
-    roster.NoteSourceBack(Common::Now());
-    roster.ApplyUnreadable(InstanceId("i-1"));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
+    discovery.NoteStoreLost();
+    discovery.NoteStoreRestored(Common::Now());
+    discovery.ApplyUnreadable(InstanceId("i-1"));
     CPPUNIT_ASSERT(directory.Empty());
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ServerLivesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ServerRestartTest);
 } // namespace
--- a/Source/UnitTests/Gateway/ServerSignalsTest.cpp
+++ b/Source/UnitTests/Gateway/ServerSignalsTest.cpp
@@ -39,19 +39,19 @@
     const ServerSignals signals = Read(200, {{"Content-Length", "2"}});
     CPPUNIT_ASSERT(!signals.instance && !signals.not_run && !signals.draining);
     CPPUNIT_ASSERT(!signals.backoff && !signals.limit.rate && signals.limit.readable);
-    CPPUNIT_ASSERT(signals.unreadable.empty());
+    CPPUNIT_ASSERT(signals.invalid.empty());
   }
 
   void DrainingIsTheNumberOne()
   {
     CPPUNIT_ASSERT(Read(200, {{"leaving", "1 "}}).draining);
     CPPUNIT_ASSERT(!Read(200, {{"Leaving", "0"}}).draining);
-    CPPUNIT_ASSERT(Read(200, {{"Leaving", "0"}}).unreadable.empty());
+    CPPUNIT_ASSERT(Read(200, {{"Leaving", "0"}}).invalid.empty());
     for (const char* value : {"", "yes", "-1", "2", "1.0", "01"})
     {
       const ServerSignals signals = Read(200, {{"Leaving", value}});
       CPPUNIT_ASSERT_MESSAGE(value, !signals.draining);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(value, std::size_t{1}, signals.unreadable.size());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(value, std::size_t{1}, signals.invalid.size());
     }
   }
 
@@ -69,7 +69,7 @@
     {
       CPPUNIT_ASSERT_MESSAGE(value, !Backoff(value));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(value, std::size_t{1},
-                                   Read(503, {{"Retry-After", value}}).unreadable.size());
+                                   Read(503, {{"Retry-After", value}}).invalid.size());
     }
   }
 
--- a/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
+++ b/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
@@ -60,7 +60,7 @@
     SilenceDetector detector;
     detector.NoteSent(NOW);
     detector.NoteSent(NOW);
-    detector.NoteHeard(NOW + Milliseconds(400));
+    detector.NoteReceived(NOW + Milliseconds(400));
     CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(500)));
   }
 
@@ -72,12 +72,12 @@
     slow.NoteSent(NOW);
     for (int i = 1; i <= 40; ++i)
     {
-      steady.NoteHeard(NOW + Milliseconds(30 * i));
-      slow.NoteHeard(NOW + Milliseconds(700 * i));
+      steady.NoteReceived(NOW + Milliseconds(30 * i));
+      slow.NoteReceived(NOW + Milliseconds(700 * i));
     }
     CPPUNIT_ASSERT_EQUAL(Milliseconds(300).count(), steady.Limit().count());
     CPPUNIT_ASSERT(slow.Limit() >= Milliseconds(700));
-    slow.NoteHeard(NOW + std::chrono::minutes(2));
+    slow.NoteReceived(NOW + std::chrono::minutes(2));
     CPPUNIT_ASSERT_EQUAL(Milliseconds(1500).count(), slow.Limit().count());
   }
 
@@ -88,7 +88,7 @@
     server.NoteStart({}, NOW);
     CPPUNIT_ASSERT(server.IsAvailable(NOW + Milliseconds(100)));
     CPPUNIT_ASSERT(!server.IsAvailable(NOW + Milliseconds(400)));
-    server.NoteHeard(NOW + Milliseconds(450));
+    server.NoteReceived(NOW + Milliseconds(450));
     CPPUNIT_ASSERT(server.IsAvailable(NOW + Milliseconds(500)));
   }
 
@@ -100,10 +100,10 @@
     server.NoteEnd({}, NOW, NOW + Milliseconds(1900));
     server.NoteEnd({}, NOW, NOW + Milliseconds(2000));
     CPPUNIT_ASSERT(!server.IsAvailable(NOW + Milliseconds(2001)));
-    CPPUNIT_ASSERT(server.Health().IsOnTrial());
+    CPPUNIT_ASSERT(server.Health().IsRecovering());
     Server answered(ServerEntry{});
     answered.NoteStart({}, NOW);
-    answered.NoteHeard(NOW + Milliseconds(50));
+    answered.NoteReceived(NOW + Milliseconds(50));
     answered.NoteEnd({}, NOW, NOW + Milliseconds(60));
     CPPUNIT_ASSERT(answered.IsAvailable(NOW + Milliseconds(61)));
   }
--- a/Source/UnitTests/Orders/CrashArchiveTest.cpp
+++ b/Source/UnitTests/Orders/CrashArchiveTest.cpp
@@ -54,13 +54,13 @@
   {
     Crashes::CaseLine line;
     line.request = CRASHER;
-    line.endings = {{Crashes::ServerLife("i-" + std::to_string(server)),
-                     (9 - server) * 1000,
-                     (9 - server) * 1000 + 300,
-                     {Common::VmId("vm")}}};
+    line.server_crashes = {{Crashes::ServerInstance("i-" + std::to_string(server)),
+                            (9 - server) * 1000,
+                            (9 - server) * 1000 + 300,
+                            {Common::VmId("vm")}}};
     dispatcher.TakeCrashCases({line});
   }
-  bool IsBlocked() { return dispatcher.CrashCases().Judge(CRASHER, Common::Now()).blocked; }
+  bool IsBlocked() { return dispatcher.CrashCases().BlockStatusOf(CRASHER, Common::Now()).blocked; }
 
   Gateway::Dispatcher dispatcher{Gateway::DispatcherSettings{}};
   CrashArchive archive;
--- a/Source/UnitTests/Orders/HubTest.cpp
+++ b/Source/UnitTests/Orders/HubTest.cpp
@@ -246,14 +246,14 @@
   {
     daemon.AddServers(server + 1, false);
     const auto found = daemon.dispatcher.Servers().Find(InstanceOf(server));
-    daemon.dispatcher.Ends().NoteBroken(found,
-                                        {CRASHER, Common::Now(), std::nullopt, std::nullopt});
-    daemon.dispatcher.Ends().NoteRefused(found);
+    daemon.dispatcher.Ends().NoteConnectionBroken(
+        found, {CRASHER, Common::Now(), std::nullopt, std::nullopt});
+    daemon.dispatcher.Ends().NoteConnectionRefused(found);
     RunFor(Milliseconds(5));
   }
   static bool IsBlocked(Daemon& daemon)
   {
-    return daemon.dispatcher.CrashCases().Judge(CRASHER, Common::Now()).blocked;
+    return daemon.dispatcher.CrashCases().BlockStatusOf(CRASHER, Common::Now()).blocked;
   }
 
   /// A request crashed servers at several VMs and was still forwarded, because each VM saw at most
