--- a/Source/Core/Crashes/CrashCase.h
+++ b/Source/Core/Crashes/CrashCase.h
@@ -14,16 +14,16 @@
 /// daemons share no clock.
 namespace Crashes
 {
-/// Identifies one incarnation of a backend server's process.
+/// Identifies one instance of a backend server's process.
 using ServerInstance = Common::StrongId<struct ServerInstanceTag>;
 
-/// A server process that exited while it processed the request.
+/// A server process that crashed while it processed the request.
 struct CrashLine
 {
   ServerInstance server;
   std::int64_t age_ms = 0;
   std::int64_t sent_age_ms = 0;      ///< Since the request was sent to the server.
-  std::vector<Common::VmId> seen_by; ///< Some of the VMs that observed the exit.
+  std::vector<Common::VmId> seen_by; ///< Some of the VMs that observed the crash.
 
   template <typename Archive>
   void serialize(Archive& archive)
--- a/Source/Core/Crashes/CrashLedger.cpp
+++ b/Source/Core/Crashes/CrashLedger.cpp
@@ -15,16 +15,16 @@
 using Common::Milliseconds;
 using Common::TimePoint;
 
-/// Maximum VMs recorded as observers of one exit.
+/// Maximum VMs recorded as observers of one crash.
 constexpr std::size_t MAX_SEEN_BY = 4;
-/// Maximum exits recorded per request. Three block it, and a few more may follow before all daemons
-/// apply the block.
+/// Maximum crashes recorded per request. Three block it, and a few more may follow before all
+/// daemons apply the block.
 constexpr std::size_t MAX_CRASHES = 16;
 /// Number of doublings after which the longest block is reached.
 constexpr int MAX_DOUBLINGS = 6;
 /// Interval at which old cases are removed.
 constexpr Milliseconds PRUNE_INTERVAL{60000};
-/// Upper bounds for the encoded size of a case without its exits, and of one exit without its
+/// Upper bounds for the encoded size of a case without its crashes, and of one crash without its
 /// names.
 constexpr std::size_t CASE_BYTES = 64;
 constexpr std::size_t SERVER_CRASH_BYTES = 30;
@@ -212,7 +212,7 @@
     const bool is_old = entry.blocks > 0 && crash->at <= entry.blocked_until;
     ++(is_old ? before_last_block : since);
   }
-  // After a block, a single further exit triggers the next one.
+  // After a block, a single further crash triggers the next one.
   return std::min(before_last_block, CrashesToBlock(entry) - 1) + since;
 }
 
@@ -307,7 +307,7 @@
   return update;
 }
 
-/// A case with a single exit stays at the lease holder, since most such requests never recur.
+/// A case with a single crash stays at the lease holder, since most such requests never recur.
 bool CrashLedger::IsSharedWithAll(const Case& entry)
 {
   return entry.server_crashes.size() > 1 || entry.blocks > 0 || entry.last_success;
--- a/Source/Core/Crashes/CrashLedger.h
+++ b/Source/Core/Crashes/CrashLedger.h
@@ -28,28 +28,29 @@
 {
   bool blocked = false;
   Common::Milliseconds blocked_for{0};
-  int server_crashes = 0; ///< Server exits that count against the request.
+  int server_crashes = 0; ///< Server crashes that count against the request.
 };
 
-/// Tracks which requests were in progress on servers that exited, and blocks those that repeatedly
+/// Tracks which requests were in progress on servers that crashed, and blocks those that repeatedly
 /// crash servers. It has no clock or I/O of its own; times are passed in. Merging what other
 /// daemons observed is commutative and idempotent.
 ///
-/// All requests in progress on a server when it exits are suspects; the exits of several servers
-/// separate the cause from the bystanders. A successful completion on any server clears a request,
-/// also for exits in the next seconds, and raises the number of exits needed to block it. Servers
-/// that exit together, such as those of one rack, count once: an exit counts only if the request
-/// was sent to the server after the previous counted exit. Three counted exits block a request for
-/// a time. After that it is tried again, and one more exit blocks it for twice as long.
+/// All requests in progress on a server when it crashes are suspects; the crashes of several
+/// servers separate the cause from the bystanders. A successful completion on any server clears a
+/// request, also for crashes in the next seconds, and raises the number of crashes needed to block
+/// it. Servers that crash together, such as those of one rack, count once: a crash counts only if
+/// the request was sent to the server after the previous counted crash. Three counted crashes block
+/// a request for a time. After that it is tried again, and one more crash blocks it for twice as
+/// long.
 class CrashLedger
 {
 public:
-  /// Exits after which a request is blocked. The platform requires this number.
+  /// Crashes after which a request is blocked. The platform requires this number.
   static constexpr int CRASHES_TO_BLOCK = 3;
   /// The same for a request that has completed successfully before. Such a request is sent often
   /// and runs on many servers, so it is more often a bystander.
   static constexpr int CRASHES_TO_BLOCK_AFTER_SUCCESS = 5;
-  /// Exits within this time after a successful completion do not count. This also delays the
+  /// Crashes within this time after a successful completion do not count. This also delays the
   /// detection of a request that starts to crash servers after a release by as many seconds.
   static constexpr Common::Milliseconds SUCCESS_GRACE{15000};
   /// Duration of the first block. Each later one is twice as long, up to the longest. A fixed
@@ -58,7 +59,8 @@
   static constexpr Common::Milliseconds LONGEST_BLOCK{std::chrono::hours(6)};
   /// A case is removed this long after its last change or the end of its block.
   static constexpr Common::Milliseconds RETENTION{std::chrono::hours(1)};
-  /// Maximum number of cases, about 2 MB. Beyond it, those with the fewest exits are evicted first.
+  /// Maximum number of cases, about 2 MB. Beyond it, those with the fewest crashes are evicted
+  /// first.
   static constexpr std::size_t MAX_CASES = 4096;
 
   explicit CrashLedger(int crashes_to_block = CRASHES_TO_BLOCK)
@@ -66,7 +68,7 @@
   {
   }
 
-  /// Records that a server exited while it processed the request. `last_success` is the last
+  /// Records that a server crashed while it processed the request. `last_success` is the last
   /// successful completion of the request known to this daemon.
   void RecordCrash(const Fingerprint& request, const ServerInstance& server,
                    const Common::VmId& seen_by, Common::TimePoint sent_at,
@@ -97,7 +99,7 @@
   /// Cases that are shared with all daemons, oldest change first, up to `max_bytes`.
   CaseUpdate SharedChangesSince(std::uint64_t revision, std::size_t max_bytes,
                                 Common::TimePoint now) const;
-  /// Cases that have at least `min_crashes` exits or were ever blocked; blocked ones first.
+  /// Cases that have at least `min_crashes` crashes or were ever blocked; blocked ones first.
   std::vector<CaseLine> MostSevere(std::size_t min_crashes, Common::TimePoint now) const;
   std::size_t Cases() const { return m_cases.size(); }
   std::size_t Blocked(Common::TimePoint now) const;
@@ -134,7 +136,7 @@
     return entry.last_success ? CRASHES_TO_BLOCK_AFTER_SUCCESS : m_crashes_to_block;
   }
   static bool IsBlockOverruled(const Case& entry);
-  /// Blocks the request if enough exits count against it.
+  /// Blocks the request if enough crashes count against it.
   void BlockIfDue(const Fingerprint& request, Common::TimePoint now);
   void Remove(const Fingerprint& request);
   void Prune(Common::TimePoint now);
--- a/Source/Core/Crashes/RecentSuccesses.h
+++ b/Source/Core/Crashes/RecentSuccesses.h
@@ -16,7 +16,7 @@
 namespace Crashes
 {
 /// Records when requests last completed successfully. This separates identical requests of many
-/// callers, which are in progress on many servers when these exit, from a request that crashes
+/// callers, which are in progress on many servers when these crash, from a request that crashes
 /// every server and never completes.
 class RecentSuccesses
 {
--- a/Source/Core/Gateway/CrashDetector.cpp
+++ b/Source/Core/Gateway/CrashDetector.cpp
@@ -27,7 +27,7 @@
 /// running for longer is a suspect only if no newer one was in progress.
 constexpr Milliseconds MAX_CRASH_RUN_TIME{1000};
 
-/// Returns the requests that may have caused the server to exit.
+/// Returns the requests that may have crashed the server.
 std::vector<CrashDetector::Suspect>
 SelectLikely(const std::vector<CrashDetector::Suspect>& suspects)
 {
--- a/Source/Core/Gateway/CrashDetector.h
+++ b/Source/Core/Gateway/CrashDetector.h
@@ -16,11 +16,12 @@
 
 namespace Gateway
 {
-/// Determines whether a backend server's process has exited after a connection to it breaks. A
-/// reset connection, a truncated response, a network partition and a planned shutdown look the same
-/// at first. A refused connection shows that the process has exited: the host is reachable and
-/// nothing listens on the port. If a connection is accepted, the process is running. If the attempt
-/// times out, the state stays unknown and is not treated as an exit.
+/// Determines, after a connection to a backend server breaks, whether the server has crashed, that
+/// is, whether its process has exited without a planned shutdown. A reset connection, a truncated
+/// response, a network partition and a planned shutdown look the same at first. A refused
+/// connection shows that the process has exited: the host is reachable and nothing listens on the
+/// port. If a connection is accepted, the process is running. If the attempt times out, the state
+/// stays unknown and is not treated as a crash.
 class CrashDetector
 {
 public:
@@ -35,13 +36,13 @@
     std::optional<Common::Milliseconds> ran_for;
   };
   /// Arguments: the server, when its first connection broke, and the requests that may have caused
-  /// the exit.
+  /// the crash.
   using CrashHandler =
       std::function<void(const InstanceId&, Common::TimePoint, const std::vector<Suspect>&)>;
 
   explicit CrashDetector(const ServerDirectory& servers) : m_servers(servers) {}
 
-  /// Called for each server that has exited.
+  /// Called for each server that has crashed.
   void OnCrashed(CrashHandler handler) { m_on_crashed = std::move(handler); }
   /// Called when the check of a suspected server completes.
   void OnCheckDone(std::function<void()> callback) { m_on_check_done = std::move(callback); }
@@ -50,7 +51,7 @@
   void NoteConnectionBroken(const ServerPtr& server, const Suspect& suspect);
   /// Records that a new connection to the server was refused.
   void NoteConnectionRefused(const ServerPtr& server);
-  /// True while it is undetermined whether a server exited while it processed the request.
+  /// True while it is undetermined whether a server crashed while it processed the request.
   bool IsCheckPending(const Crashes::Fingerprint& request) const;
 
 private:
--- a/Source/Core/Gateway/DrainRegistry.cpp
+++ b/Source/Core/Gateway/DrainRegistry.cpp
@@ -11,10 +11,10 @@
 {
 using RateLimits::ServerKey;
 
-/// The lease holder publishes a draining server for this long. By then the server has exited and
+/// The lease holder announces a draining server for this long. By then the server has exited and
 /// every daemon has received the update.
 constexpr std::chrono::minutes ANNOUNCE_DURATION{10};
-/// Daemons keep an entry for longer than the holder publishes it, so that an expired entry is not
+/// Daemons keep an entry for longer than the holder announces it, so that an expired entry is not
 /// received again.
 constexpr std::chrono::minutes RETENTION{20};
 } // namespace
--- a/Source/Core/Gateway/DrainRegistry.h
+++ b/Source/Core/Gateway/DrainRegistry.h
@@ -14,15 +14,15 @@
 namespace Gateway
 {
 /// The draining servers known to one daemon, learned from response headers. Daemons report them to
-/// the holder of the order lease, which distributes them to all daemons. A server incarnation never
-/// leaves the draining state, so updates may be late, duplicated, lost or reordered.
+/// the holder of the order lease, which announces them to all daemons. An instance of a server
+/// never leaves the draining state, so updates may be late, duplicated, lost or reordered.
 class DrainRegistry
 {
 public:
   /// Adds a server that announced draining in a response to this daemon or, on the lease holder, in
   /// another daemon's report. Returns true if the server was not known as draining.
   bool Note(RateLimits::ServerKey server, Common::TimePoint now);
-  /// Servers that the most recent lease holder has not published yet.
+  /// Servers that the most recent lease holder has not announced yet.
   std::vector<RateLimits::ServerKey> Unconfirmed() const;
   /// Applies an update from the holder of `tenure` and returns the servers that were not known.
   std::vector<RateLimits::ServerKey> ApplyUpdate(std::int64_t tenure,
@@ -43,7 +43,7 @@
   struct Entry
   {
     Common::TimePoint noted_at;
-    std::int64_t announced_in = 0; ///< Latest tenure whose holder published the server.
+    std::int64_t announced_in = 0; ///< Latest tenure whose holder announced the server.
   };
 
   void Forget(Common::TimePoint noted_before);
--- a/Source/Core/Gateway/DrainState.h
+++ b/Source/Core/Gateway/DrainState.h
@@ -21,8 +21,8 @@
 };
 std::string_view ToString(DrainSource source);
 
-/// Draining state of one server incarnation. An announcement in a response to this VM is final: a
-/// draining server does not return to service in the same incarnation, whatever its entry on the
+/// Draining state of one instance of a server. An announcement in a response to this VM is final: a
+/// draining server does not return to service in the same instance, whatever its entry on the
 /// platform states later. A report from another VM is overridden by a later response to this VM
 /// without the announcement, so that a false announcement removes the server from one VM only.
 class DrainState
@@ -34,8 +34,8 @@
   bool NoteAnnounced(Common::TimePoint now);
   /// Records a response without the announcement to a request that this VM sent at `sent_at`.
   void NoteNotAnnounced(Common::TimePoint sent_at);
-  /// Takes over the announcement of the previous incarnation under the same id. It may already have
-  /// come from this incarnation, before its entry was received. If this incarnation announces
+  /// Takes over the announcement of the previous instance under the same id. It may already have
+  /// come from this instance, before its entry was received. If this instance announces
   /// draining as well, the time of the earlier announcement applies.
   void Inherit(const DrainState& before) { m_announced_before = before.m_announced_at; }
   /// Records a report that the server announced draining to another VM.
@@ -53,7 +53,7 @@
 private:
   bool m_draining_in_entry = false;
   std::optional<Common::TimePoint> m_announced_at;
-  std::optional<Common::TimePoint> m_announced_before; ///< By the previous incarnation.
+  std::optional<Common::TimePoint> m_announced_before; ///< By the previous instance.
   std::optional<Common::TimePoint> m_reported_at;
   /// A response to this VM, to a request sent after the report, did not announce draining.
   bool m_contradicted = false;
--- a/Source/Core/Gateway/ServerCondition.h
+++ b/Source/Core/Gateway/ServerCondition.h
@@ -9,14 +9,14 @@
 
 namespace Gateway
 {
-/// What this VM has observed of one server incarnation, in addition to its entry: whether and when
-/// it may receive requests.
+/// What this VM has observed of one instance of a server, in addition to its entry: whether and
+/// when it may receive requests.
 struct ServerCondition
 {
   ServerHealth health;
   DrainState drain;
   Backoff backoff;
-  /// This incarnation has ended: another process has the address, or the server has restarted.
+  /// This instance has ended: another process has the address, or the server has restarted.
   bool replaced = false;
 };
 } // namespace Gateway
--- a/Source/Core/Gateway/ServerDirectory.cpp
+++ b/Source/Core/Gateway/ServerDirectory.cpp
@@ -249,7 +249,7 @@
 
 ServerPtr ServerDirectory::FindLatest(const InstanceId& instance) const
 {
-  // The map holds at most one incarnation per id.
+  // The map holds at most one instance per id.
   const auto found = m_servers.lower_bound(InstanceId(instance.Get()));
   const bool is_known = found != m_servers.end() && found->first.HasIdOf(instance);
   return is_known ? found->second : nullptr;
--- a/Source/Core/Gateway/ServerDirectory.h
+++ b/Source/Core/Gateway/ServerDirectory.h
@@ -35,7 +35,7 @@
   /// Maximum idle connections kept open per server.
   static constexpr std::size_t MAX_IDLE_CONNECTIONS = 24;
 
-  /// `condition` carries over what was observed of this incarnation before its entry was removed.
+  /// `condition` carries over what was observed of this instance before its entry was removed.
   explicit Server(ServerEntry entry,
                   std::shared_ptr<ServerCondition> condition = std::make_shared<ServerCondition>());
   Server(const Server&) = delete;
@@ -145,15 +145,15 @@
 
 using ServerPtr = std::shared_ptr<Server>;
 
-/// All known backend servers, each in its latest incarnation.
+/// All known backend servers, each in its latest instance.
 class ServerDirectory
 {
 public:
   /// Sets the callback for any change that may allow a waiting request to proceed.
   void OnChange(std::function<void()> callback) { m_on_change = std::move(callback); }
 
-  /// Adds or updates a server. The entry of a later incarnation replaces the server and everything
-  /// recorded for it; an entry of an earlier incarnation is ignored.
+  /// Adds or updates a server. The entry of a later instance replaces the server and everything
+  /// recorded for it; an entry of an earlier instance is ignored.
   void Put(ServerEntry entry);
   /// Removes a server. Its condition is kept for a while, because the entry of a running server may
   /// expire and be written again.
@@ -161,7 +161,7 @@
   void SetDrainGrace(Common::Milliseconds grace);
 
   ServerPtr Find(const InstanceId& instance) const;
-  /// The latest incarnation under the id of `instance`; the start time of `instance` is ignored.
+  /// The latest instance under the id of `instance`; the start time of `instance` is ignored.
   ServerPtr FindLatest(const InstanceId& instance) const;
   const std::map<InstanceId, ServerPtr>& All() const { return m_servers; }
   ServerPtr FindByKey(RateLimits::ServerKey key) const;
@@ -178,7 +178,7 @@
   };
 
   void Add(ServerEntry entry);
-  /// Copies announcements of the previous incarnation to `server`, which may have sent them itself
+  /// Copies announcements of the previous instance to `server`, which may have sent them itself
   /// before its entry was received.
   static void Inherit(Server& server, const Server& before);
   void DropOldConditions(Common::TimePoint now);
--- a/Source/Core/Gateway/ServerDiscovery.h
+++ b/Source/Core/Gateway/ServerDiscovery.h
@@ -23,7 +23,7 @@
   /// Applies all entries as of one point in time; servers without an entry are removed.
   void ApplySnapshot(std::vector<ServerEntry> entries, Common::TimePoint now);
   void ApplyEntry(ServerEntry entry);
-  /// Applies the removal of the entry under the id of `instance`, whatever its incarnation.
+  /// Applies the removal of the entry under the id of `instance`, whichever instance it was for.
   void ApplyRemoval(const InstanceId& instance, Common::TimePoint now);
   /// Removes the server without delay because the entry under the id of `instance` is malformed.
   void ApplyUnreadable(const InstanceId& instance);
--- a/Source/Core/Gateway/Types.cpp
+++ b/Source/Core/Gateway/Types.cpp
@@ -11,7 +11,7 @@
 {
 RateLimits::ServerKey KeyOf(const InstanceId& instance)
 {
-  // The start time is the seed, so that incarnations of a server have different keys.
+  // The start time is the seed, so that instances of a server have different keys.
   const std::uint64_t hash =
       XXH3_64bits_withSeed(instance.Get().data(), instance.Get().size(),
                            static_cast<XXH64_hash_t>(instance.Started().Get()));
--- a/Source/Core/Gateway/Types.h
+++ b/Source/Core/Gateway/Types.h
@@ -32,9 +32,10 @@
 /// is only compared with other starts of the same server.
 using ServerStart = Common::Quantity<struct ServerStartTag>;
 
-/// Identifies one incarnation of a backend server's process: its id on the platform and its start
-/// time, since a server may restart under the same id. All state of a server is keyed by this, so
-/// that state of a previous incarnation is never attributed to the current one.
+/// Identifies one instance of a backend server: its process from one start on, named by its id on
+/// the platform and its start time, since a server may restart under the same id. All state of a
+/// server is keyed by this, so that state of a previous instance is never attributed to the current
+/// one.
 class InstanceId
 {
 public:
@@ -66,7 +67,7 @@
   ServerStart m_started;
 };
 
-/// Key of the server incarnation in messages about rate limits and draining servers.
+/// Key of the instance in messages about rate limits and draining servers.
 RateLimits::ServerKey KeyOf(const InstanceId& instance);
 
 using ModelId = Common::StrongId<struct ModelIdTag>;
--- a/Source/UnitTests/Crashes/CrashLedgerTest.cpp
+++ b/Source/UnitTests/Crashes/CrashLedgerTest.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Tests which requests are blocked for server exits, based on the observations of several daemons,
-// whatever the order in which messages arrive and however often.
+// Tests which requests are blocked for server crashes, based on the observations of several
+// daemons, whatever the order in which messages arrive and however often.
 
 #include "Crashes/CrashLedger.h"
 
@@ -21,7 +21,7 @@
 
 constexpr Fingerprint CRASHER{1, 1, 10};
 constexpr Fingerprint BESIDE{2, 2, 20};
-/// Time from sending the request to the exit of the server.
+/// Time from sending the request to the crash of the server.
 constexpr Milliseconds RUN{300};
 constexpr std::size_t ALL_BYTES = 1 << 20;
 
@@ -173,14 +173,15 @@
     CPPUNIT_ASSERT(!IsBlocked(other, BESIDE));
     Tell(other, ledger);
     CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
-    // The request was cleared by a success, so five exits are needed to block it.
+    // The request was cleared by a success, so five crashes are needed to block it.
     End(ledger, BESIDE, 4);
     CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
     End(ledger, BESIDE, 5);
     CPPUNIT_ASSERT(IsBlocked(ledger, BESIDE));
   }
 
-  /// The servers of one rack exit within a few ms while each runs a request that many callers send.
+  /// The servers of one rack crash within a few ms while each runs a request that many callers
+  /// send.
   void ServersThatEndTogetherCountOnce()
   {
     CrashLedger ledger;
@@ -210,7 +211,7 @@
       End(ledger, CRASHER, life);
     m_now += CrashLedger::FIRST_BLOCK;
     CPPUNIT_ASSERT(!IsBlocked(ledger, CRASHER));
-    // Messages about the old exits do not block it again.
+    // Messages about the old crashes do not block it again.
     CrashLedger other;
     Tell(ledger, other);
     Tell(other, ledger);
@@ -232,7 +233,7 @@
     CPPUNIT_ASSERT(!ledger.MayContain(100));
   }
 
-  /// A VM's clock starts at its boot, so exits that others observed before that have negative
+  /// A VM's clock starts at its boot, so crashes that others observed before that have negative
   /// times.
   void EndingsFromBeforeTheBootCount()
   {
--- a/Source/UnitTests/Crashes/CrashReplayTest.cpp
+++ b/Source/UnitTests/Crashes/CrashReplayTest.cpp
@@ -4,8 +4,8 @@
 // Simulates crashing servers in virtual time, observed by six daemons that exchange their
 // observations with a delay of 0.3 s. Some requests crash every server that starts to run them;
 // others are harmless, and many of these are sent repeatedly with identical content. Servers also
-// exit for other reasons. Measures how many harmless requests are refused, and how many servers are
-// lost for each number of exits before a block.
+// crash for other reasons. Measures how many harmless requests are refused, and how many servers
+// are lost for each number of crashes before a block.
 
 #include <algorithm>
 #include <array>
@@ -51,9 +51,9 @@
   std::uint64_t crashers = 3;
   /// Time before the first crashing request.
   Milliseconds calm = CALM;
-  /// Mean time between exits of one server for other reasons; 0: never.
+  /// Mean time between crashes of one server for other reasons; 0: never.
   Milliseconds own_end_every{0};
-  /// Mean time between exits of a rack, a third of the servers; 0: never.
+  /// Mean time between crashes of a rack, a third of the servers; 0: never.
   Milliseconds rack_end_every{0};
 };
 
@@ -325,11 +325,11 @@
   void CrashersAlone() { Check("crashing requests alone", {}); }
   void CrashersOnADayOfCrashingServers()
   {
-    Check("each server exits every 30 s", {3, CALM, Milliseconds(30000), Milliseconds(0)});
+    Check("each server crashes every 30 s", {3, CALM, Milliseconds(30000), Milliseconds(0)});
   }
   void CrashersWhileRacksEnd()
   {
-    Check("a rack exits every 20 s", {3, CALM, Milliseconds(0), Milliseconds(20000)});
+    Check("a rack crashes every 20 s", {3, CALM, Milliseconds(0), Milliseconds(20000)});
   }
 };
 
--- a/Source/UnitTests/Gateway/CrashDetectorTest.cpp
+++ b/Source/UnitTests/Gateway/CrashDetectorTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Tests when a backend server is considered to have exited, and which requests are suspected.
+// Tests when a backend server is considered to have crashed, and which requests are suspected.
 
 #include "Gateway/CrashDetector.h"
 
--- a/Source/UnitTests/Gateway/DrainStateTest.cpp
+++ b/Source/UnitTests/Gateway/DrainStateTest.cpp
@@ -179,7 +179,7 @@
         const auto now = START + Milliseconds(100 * tick);
         if (tick % 15 == 14)
         {
-          // The holder fails, possibly before it has published the server.
+          // The holder fails, possibly before it has announced the server.
           books[holder].EndTenure();
           holder = draw(DAEMONS);
           books[holder].BeginTenure(++tenure);
--- a/Source/UnitTests/Gateway/ServerRestartTest.cpp
+++ b/Source/UnitTests/Gateway/ServerRestartTest.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A backend server may restart under the same id within one heartbeat, so that its entry never
-// expires. State of the previous incarnation must not be applied to the new one. Incarnations are
+// expires. State of the previous instance must not be applied to the new one. Instances are
 // ordered by their start times, because their entries may arrive in any order.
 
 #include <string>
@@ -18,7 +18,7 @@
 {
 using namespace Gateway;
 
-/// The entry of server i-1 in the incarnation that started at `born`.
+/// The entry of the instance of server i-1 that started at `born`.
 ServerEntry EntryOf(std::int64_t born, const std::string& models)
 {
   const auto entry = PlatformFace::DecodeServerEntry(
@@ -91,7 +91,7 @@
     CPPUNIT_ASSERT(directory.Empty());
   }
 
-  /// A stream counts as lost as soon as its server's incarnation has ended.
+  /// A stream counts as lost as soon as its server has restarted.
   void TheServerOfARequestIsGoneWithItsLife()
   {
     ServerDirectory directory;
