--- a/Source/UnitTests/Crashes/CrashLedgerTest.cpp
+++ b/Source/UnitTests/Crashes/CrashLedgerTest.cpp
@@ -20,34 +20,37 @@
 using Common::VmId;
 
 constexpr Fingerprint CRASHER{1, 1, 10};
-constexpr Fingerprint BESIDE{2, 2, 20};
+constexpr Fingerprint BYSTANDER{2, 2, 20};
 /// Time from sending the request to the crash of the server.
-constexpr Milliseconds RUN{300};
+constexpr Milliseconds RUN_TIME{300};
 constexpr std::size_t ALL_BYTES = 1 << 20;
 
 class CrashLedgerTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CrashLedgerTest);
-  CPPUNIT_TEST(ThreeLivesBlock);
-  CPPUNIT_TEST(OneLifeCountsOnceWhoeverSawIt);
-  CPPUNIT_TEST(WhatTwoDaemonsSawAddsUp);
-  CPPUNIT_TEST(WhatIsToldTwiceOrLateChangesNothing);
-  CPPUNIT_TEST(AGoodEndClears);
-  CPPUNIT_TEST(AGoodEndClearsAlsoForLaterWordOfOldEndings);
-  CPPUNIT_TEST(WhoWasOnlyBesideIsNotBlocked);
-  CPPUNIT_TEST(AnEarlierGoodEndTakesTheBlockBack);
-  CPPUNIT_TEST(ServersThatEndTogetherCountOnce);
-  CPPUNIT_TEST(TwoCrashersAtOnceAreBothBlocked);
-  CPPUNIT_TEST(ABlockEndsAndOneMoreEndingDoublesIt);
-  CPPUNIT_TEST(ManyCrashersAreBounded);
-  CPPUNIT_TEST(EndingsFromBeforeTheBootCount);
-  CPPUNIT_TEST(NewsComesInPartsThatFit);
+  CPPUNIT_TEST(ThreeCrashesBlock);
+  CPPUNIT_TEST(CrashSeenByManyVmsCountsOnce);
+  CPPUNIT_TEST(CrashesSeenByTwoDaemonsAddUp);
+  CPPUNIT_TEST(DuplicateOrLateMessagesChangeNothing);
+  CPPUNIT_TEST(SuccessClearsARequest);
+  CPPUNIT_TEST(SuccessClearsOldCrashesReportedLater);
+  CPPUNIT_TEST(BystanderIsNotBlocked);
+  CPPUNIT_TEST(EarlierSuccessLiftsTheBlock);
+  CPPUNIT_TEST(SimultaneousCrashesCountOnce);
+  CPPUNIT_TEST(TwoSimultaneousCrashersAreBothBlocked);
+  CPPUNIT_TEST(ExpiredBlockDoublesAfterOneMoreCrash);
+  CPPUNIT_TEST(NumberOfCasesIsBounded);
+  CPPUNIT_TEST(CrashesFromBeforeTheBootCount);
+  CPPUNIT_TEST(ChangesAreSplitToFitMessages);
   CPPUNIT_TEST_SUITE_END();
 
-  static ServerInstance Life(int number) { return ServerInstance("i-" + std::to_string(number)); }
-  void End(CrashLedger& ledger, const Fingerprint& request, int life, const char* vm = "vm-1")
+  static ServerInstance InstanceOf(int number)
   {
-    ledger.RecordCrash(request, Life(life), VmId(vm), m_now - RUN, m_now);
+    return ServerInstance("i-" + std::to_string(number));
+  }
+  void Crash(CrashLedger& ledger, const Fingerprint& request, int instance, const char* vm = "vm-1")
+  {
+    ledger.RecordCrash(request, InstanceOf(instance), VmId(vm), m_now - RUN_TIME, m_now);
     m_now += Milliseconds(1000);
   }
   bool IsBlocked(const CrashLedger& ledger, const Fingerprint& request) const
@@ -55,7 +58,7 @@
     return ledger.BlockStatusOf(request, m_now).blocked;
   }
   /// Sends all cases that one daemon shares to another.
-  void Tell(const CrashLedger& from, CrashLedger& to) const
+  void Send(const CrashLedger& from, CrashLedger& to) const
   {
     for (const CaseLine& line : from.OwnChangesSince(0, ALL_BYTES, m_now).lines)
       to.Merge(line, m_now);
@@ -63,171 +66,173 @@
       to.Merge(line, m_now);
   }
 
-  void ThreeLivesBlock()
+  void ThreeCrashesBlock()
   {
     CrashLedger ledger;
-    End(ledger, CRASHER, 1);
-    End(ledger, CRASHER, 2);
+    Crash(ledger, CRASHER, 1);
+    Crash(ledger, CRASHER, 2);
     CPPUNIT_ASSERT(!IsBlocked(ledger, CRASHER));
-    End(ledger, CRASHER, 3);
+    Crash(ledger, CRASHER, 3);
     CPPUNIT_ASSERT(IsBlocked(ledger, CRASHER));
     CPPUNIT_ASSERT(ledger.TakeNewlyBlocked() == std::vector{CRASHER});
     CPPUNIT_ASSERT(ledger.TakeNewlyBlocked().empty());
   }
 
-  void OneLifeCountsOnceWhoeverSawIt()
+  void CrashSeenByManyVmsCountsOnce()
   {
     CrashLedger ledger;
     for (const char* vm : {"vm-1", "vm-2", "vm-3"})
-      End(ledger, CRASHER, 1, vm);
+      Crash(ledger, CRASHER, 1, vm);
     CPPUNIT_ASSERT_EQUAL(1, ledger.BlockStatusOf(CRASHER, m_now).server_crashes);
     CPPUNIT_ASSERT_EQUAL(std::size_t(3),
                          ledger.Find(CRASHER, m_now)->server_crashes.front().seen_by.size());
   }
 
-  void WhatTwoDaemonsSawAddsUp()
+  void CrashesSeenByTwoDaemonsAddUp()
   {
     CrashLedger first;
     CrashLedger second;
     CrashLedger holder;
-    End(first, CRASHER, 1, "vm-1");
-    End(second, CRASHER, 2, "vm-2");
-    End(first, CRASHER, 3, "vm-1");
-    Tell(second, holder);
-    Tell(first, holder);
+    Crash(first, CRASHER, 1, "vm-1");
+    Crash(second, CRASHER, 2, "vm-2");
+    Crash(first, CRASHER, 3, "vm-1");
+    Send(second, holder);
+    Send(first, holder);
     CPPUNIT_ASSERT(IsBlocked(holder, CRASHER));
-    Tell(holder, second);
+    Send(holder, second);
     CPPUNIT_ASSERT(IsBlocked(second, CRASHER));
     CPPUNIT_ASSERT(second.TakeNewlyBlocked() == std::vector{CRASHER});
   }
 
-  void WhatIsToldTwiceOrLateChangesNothing()
+  void DuplicateOrLateMessagesChangeNothing()
   {
     CrashLedger daemon;
     CrashLedger holder;
-    End(daemon, CRASHER, 1);
-    End(daemon, CRASHER, 2);
+    Crash(daemon, CRASHER, 1);
+    Crash(daemon, CRASHER, 2);
     const CaseLine late = daemon.OwnChangesSince(0, ALL_BYTES, m_now).lines.front();
-    Tell(daemon, holder);
+    Send(daemon, holder);
     const std::uint64_t revision = holder.Revision();
-    Tell(daemon, holder);
+    Send(daemon, holder);
     holder.Merge(late, m_now + Milliseconds(3000));
     CPPUNIT_ASSERT_EQUAL(revision, holder.Revision());
     CPPUNIT_ASSERT_EQUAL(2, holder.BlockStatusOf(CRASHER, m_now).server_crashes);
   }
 
-  void AGoodEndClears()
+  void SuccessClearsARequest()
   {
     CrashLedger ledger;
-    for (int life = 1; life <= 3; ++life)
-      End(ledger, CRASHER, life);
+    for (int instance = 1; instance <= 3; ++instance)
+      Crash(ledger, CRASHER, instance);
     ledger.NoteRequestSuccess(CRASHER, m_now);
     CPPUNIT_ASSERT(!IsBlocked(ledger, CRASHER));
     CPPUNIT_ASSERT_EQUAL(0, ledger.BlockStatusOf(CRASHER, m_now).server_crashes);
   }
 
-  void AGoodEndClearsAlsoForLaterWordOfOldEndings()
+  void SuccessClearsOldCrashesReportedLater()
   {
     CrashLedger holder;
     CrashLedger daemon;
-    End(daemon, CRASHER, 1);
-    End(holder, CRASHER, 2);
-    End(holder, CRASHER, 3);
+    Crash(daemon, CRASHER, 1);
+    Crash(holder, CRASHER, 2);
+    Crash(holder, CRASHER, 3);
     holder.NoteRequestSuccess(CRASHER, m_now);
     m_now += Milliseconds(3000);
-    Tell(daemon, holder);
+    Send(daemon, holder);
     CPPUNIT_ASSERT_EQUAL(0, holder.BlockStatusOf(CRASHER, m_now).server_crashes);
-    Tell(holder, daemon);
+    Send(holder, daemon);
     CPPUNIT_ASSERT_EQUAL(0, daemon.BlockStatusOf(CRASHER, m_now).server_crashes);
   }
 
   /// A harmless request repeatedly runs on the same servers as a crashing one, and completes
   /// successfully in between.
-  void WhoWasOnlyBesideIsNotBlocked()
+  void BystanderIsNotBlocked()
   {
     CrashLedger ledger;
-    for (int life = 1; life <= 8; ++life)
+    for (int instance = 1; instance <= 8; ++instance)
     {
-      End(ledger, CRASHER, life);
-      ledger.RecordCrash(BESIDE, Life(life), VmId("vm-1"), m_now - RUN, m_now);
-      if (life % 2 == 0)
-        ledger.NoteRequestSuccess(BESIDE, m_now);
+      Crash(ledger, CRASHER, instance);
+      ledger.RecordCrash(BYSTANDER, InstanceOf(instance), VmId("vm-1"), m_now - RUN_TIME, m_now);
+      if (instance % 2 == 0)
+        ledger.NoteRequestSuccess(BYSTANDER, m_now);
       m_now += CrashLedger::SUCCESS_GRACE;
     }
     CPPUNIT_ASSERT(IsBlocked(ledger, CRASHER));
-    CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
+    CPPUNIT_ASSERT(!IsBlocked(ledger, BYSTANDER));
   }
 
   /// Another daemon knows of a successful completion and reports it when it receives the block.
-  void AnEarlierGoodEndTakesTheBlockBack()
+  void EarlierSuccessLiftsTheBlock()
   {
     CrashLedger ledger;
     const TimePoint last_success = m_now;
     m_now += CrashLedger::SUCCESS_GRACE * 2;
-    for (int life = 1; life <= 3; ++life)
-      End(ledger, BESIDE, life);
-    CPPUNIT_ASSERT(IsBlocked(ledger, BESIDE));
+    for (int instance = 1; instance <= 3; ++instance)
+      Crash(ledger, BYSTANDER, instance);
+    CPPUNIT_ASSERT(IsBlocked(ledger, BYSTANDER));
     CrashLedger other;
-    Tell(ledger, other);
-    other.NoteEarlierSuccess(BESIDE, last_success, m_now);
-    CPPUNIT_ASSERT(!IsBlocked(other, BESIDE));
-    Tell(other, ledger);
-    CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
+    Send(ledger, other);
+    other.NoteEarlierSuccess(BYSTANDER, last_success, m_now);
+    CPPUNIT_ASSERT(!IsBlocked(other, BYSTANDER));
+    Send(other, ledger);
+    CPPUNIT_ASSERT(!IsBlocked(ledger, BYSTANDER));
     // The request was cleared by a success, so five crashes are needed to block it.
-    End(ledger, BESIDE, 4);
-    CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
-    End(ledger, BESIDE, 5);
-    CPPUNIT_ASSERT(IsBlocked(ledger, BESIDE));
+    Crash(ledger, BYSTANDER, 4);
+    CPPUNIT_ASSERT(!IsBlocked(ledger, BYSTANDER));
+    Crash(ledger, BYSTANDER, 5);
+    CPPUNIT_ASSERT(IsBlocked(ledger, BYSTANDER));
   }
 
   /// The servers of one rack crash within a few ms while each runs a request that many callers
   /// send.
-  void ServersThatEndTogetherCountOnce()
+  void SimultaneousCrashesCountOnce()
   {
     CrashLedger ledger;
-    for (int life = 1; life <= 8; ++life)
-      ledger.RecordCrash(BESIDE, Life(life), VmId("vm-1"), m_now - RUN, m_now + Milliseconds(life));
-    CPPUNIT_ASSERT_EQUAL(1, ledger.BlockStatusOf(BESIDE, m_now).server_crashes);
-    End(ledger, BESIDE, 9);
-    CPPUNIT_ASSERT(!IsBlocked(ledger, BESIDE));
+    for (int instance = 1; instance <= 8; ++instance)
+      ledger.RecordCrash(BYSTANDER, InstanceOf(instance), VmId("vm-1"), m_now - RUN_TIME,
+                         m_now + Milliseconds(instance));
+    CPPUNIT_ASSERT_EQUAL(1, ledger.BlockStatusOf(BYSTANDER, m_now).server_crashes);
+    Crash(ledger, BYSTANDER, 9);
+    CPPUNIT_ASSERT(!IsBlocked(ledger, BYSTANDER));
   }
 
-  void TwoCrashersAtOnceAreBothBlocked()
+  void TwoSimultaneousCrashersAreBothBlocked()
   {
     CrashLedger ledger;
-    for (int life = 1; life <= 3; ++life)
+    for (int instance = 1; instance <= 3; ++instance)
     {
-      End(ledger, CRASHER, life);
-      End(ledger, BESIDE, life);
+      Crash(ledger, CRASHER, instance);
+      Crash(ledger, BYSTANDER, instance);
     }
     CPPUNIT_ASSERT(IsBlocked(ledger, CRASHER));
-    CPPUNIT_ASSERT(IsBlocked(ledger, BESIDE));
+    CPPUNIT_ASSERT(IsBlocked(ledger, BYSTANDER));
   }
 
-  void ABlockEndsAndOneMoreEndingDoublesIt()
+  void ExpiredBlockDoublesAfterOneMoreCrash()
   {
     CrashLedger ledger;
-    for (int life = 1; life <= 4; ++life)
-      End(ledger, CRASHER, life);
+    for (int instance = 1; instance <= 4; ++instance)
+      Crash(ledger, CRASHER, instance);
     m_now += CrashLedger::FIRST_BLOCK;
     CPPUNIT_ASSERT(!IsBlocked(ledger, CRASHER));
     // Messages about the old crashes do not block it again.
     CrashLedger other;
-    Tell(ledger, other);
-    Tell(other, ledger);
+    Send(ledger, other);
+    Send(other, ledger);
     CPPUNIT_ASSERT(!IsBlocked(ledger, CRASHER));
     CPPUNIT_ASSERT(!IsBlocked(other, CRASHER));
-    End(ledger, CRASHER, 5);
+    Crash(ledger, CRASHER, 5);
     CPPUNIT_ASSERT(ledger.BlockStatusOf(CRASHER, m_now).blocked_for > CrashLedger::FIRST_BLOCK);
   }
 
-  void ManyCrashersAreBounded()
+  void NumberOfCasesIsBounded()
   {
     CrashLedger ledger;
-    for (int life = 1; life <= 3; ++life)
-      End(ledger, CRASHER, life);
+    for (int instance = 1; instance <= 3; ++instance)
+      Crash(ledger, CRASHER, instance);
     for (std::uint64_t i = 100; i < 10100; ++i)
-      ledger.RecordCrash({i, i, i}, Life(static_cast<int>(i)), VmId("vm-1"), m_now - RUN, m_now);
+      ledger.RecordCrash({i, i, i}, InstanceOf(static_cast<int>(i)), VmId("vm-1"), m_now - RUN_TIME,
+                         m_now);
     CPPUNIT_ASSERT(ledger.Cases() <= CrashLedger::MAX_CASES);
     CPPUNIT_ASSERT(IsBlocked(ledger, CRASHER));
     CPPUNIT_ASSERT(!ledger.MayContain(100));
@@ -235,11 +240,11 @@
 
   /// A VM's clock starts at its boot, so crashes that others observed before that have negative
   /// times.
-  void EndingsFromBeforeTheBootCount()
+  void CrashesFromBeforeTheBootCount()
   {
     CrashLedger others;
-    End(others, CRASHER, 1);
-    End(others, CRASHER, 2);
+    Crash(others, CRASHER, 1);
+    Crash(others, CRASHER, 2);
     m_now += Milliseconds(60000);
     const CaseLine line = others.OwnChangesSince(0, ALL_BYTES, m_now).lines.front();
     m_now = TimePoint(std::chrono::seconds(5));
@@ -248,23 +253,23 @@
     CPPUNIT_ASSERT_EQUAL(2, started.BlockStatusOf(CRASHER, m_now).server_crashes);
   }
 
-  void NewsComesInPartsThatFit()
+  void ChangesAreSplitToFitMessages()
   {
     constexpr std::uint64_t CRASHERS = 200;
     CrashLedger ledger;
     for (std::uint64_t i = 0; i < CRASHERS; ++i)
-      for (int life = 0; life < 2; ++life)
-        ledger.RecordCrash({i, i, i}, Life(life), VmId("vm-1"), m_now - RUN, m_now);
-    std::size_t told = 0;
+      for (int instance = 0; instance < 2; ++instance)
+        ledger.RecordCrash({i, i, i}, InstanceOf(instance), VmId("vm-1"), m_now - RUN_TIME, m_now);
+    std::size_t received = 0;
     std::uint64_t position = 0;
     for (int part = 0; position < ledger.Revision(); ++part)
     {
       CPPUNIT_ASSERT(part < 20);
-      const CaseUpdate news = ledger.SharedChangesSince(position, 4000, m_now);
-      told += news.lines.size();
-      position = news.to;
+      const CaseUpdate update = ledger.SharedChangesSince(position, 4000, m_now);
+      received += update.lines.size();
+      position = update.to;
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t(CRASHERS), told);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(CRASHERS), received);
   }
 
   TimePoint m_now = Common::Now();
--- a/Source/UnitTests/Crashes/FingerprintTest.cpp
+++ b/Source/UnitTests/Crashes/FingerprintTest.cpp
@@ -17,12 +17,12 @@
 class FingerprintTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(FingerprintTest);
-  CPPUNIT_TEST(EachPartCounts);
-  CPPUNIT_TEST(NoPartRunsIntoTheNext);
-  CPPUNIT_TEST(TextHasAllDigits);
+  CPPUNIT_TEST(EachPartAffectsTheFingerprint);
+  CPPUNIT_TEST(PartsAreDelimited);
+  CPPUNIT_TEST(TextKeepsLeadingZeros);
   CPPUNIT_TEST_SUITE_END();
 
-  void EachPartCounts()
+  void EachPartAffectsTheFingerprint()
   {
     std::set<Fingerprint> seen{FingerprintOf(IDENTITY)};
     for (std::string_view RequestIdentity::*part :
@@ -37,12 +37,12 @@
   }
 
   /// No caller may be able to construct a request with the fingerprint of another caller's request.
-  void NoPartRunsIntoTheNext()
+  void PartsAreDelimited()
   {
     CPPUNIT_ASSERT(FingerprintOf({"ab", "", "", "", ""}) != FingerprintOf({"a", "b", "", "", ""}));
   }
 
-  void TextHasAllDigits()
+  void TextKeepsLeadingZeros()
   {
     CPPUNIT_ASSERT_EQUAL(std::string("000000000000000f0000000000000001"),
                          (Fingerprint{15, 1, 7}.ToString()));
--- a/Source/UnitTests/Gateway/BackoffReplayTest.cpp
+++ b/Source/UnitTests/Gateway/BackoffReplayTest.cpp
@@ -29,20 +29,20 @@
 constexpr int QUEUE = 12; ///< Maximum requests queued at a server.
 constexpr Milliseconds SERVICE_TIME{100};
 constexpr double CAPACITY = SERVERS * SLOTS * 10.0; ///< Requests per second.
-constexpr Milliseconds PATIENCE{1000};
+constexpr Milliseconds REQUEST_TIMEOUT{1000};
 constexpr Milliseconds RETRY_AFTER{1500};
-constexpr Milliseconds NEWS_DELAY{300};
+constexpr Milliseconds SHARING_DELAY{300};
 constexpr int SECONDS = 30;
 constexpr int MAX_SERVERS = 2; ///< Servers tried per request.
 /// Maximum requests that one daemon may send to a server during a backoff, not counting those
 /// already in flight when it began.
 constexpr int ALLOWED_IN_BACKOFF = 2;
 
-enum class Way
+enum class Scope
 {
-  Kept,      ///< Applies to the VM that received the Retry-After.
-  ToldToAll, ///< Applies to all VMs.
-  Hint,      ///< Applies to the VM that received it; the others prefer other servers.
+  ReceivingVm,     ///< Applies to the VM that received the Retry-After.
+  AllVms,          ///< Applies to all VMs.
+  LowerPreference, ///< Applies to the VM that received it; the others prefer other servers.
 };
 
 enum class Load
@@ -73,11 +73,11 @@
   std::vector<std::size_t> tried;
 };
 
-class Replay
+class Simulation
 {
 public:
-  Replay(Way way, Load load, std::size_t daemons, unsigned seed)
-      : m_way(way), m_load(load), m_random(seed), m_daemons(daemons)
+  Simulation(Scope scope, Load load, std::size_t daemons, unsigned seed)
+      : m_scope(scope), m_load(load), m_random(seed), m_daemons(daemons)
   {
   }
 
@@ -107,8 +107,8 @@
   {
     Backoff backoff;
     int in_flight = 0;
-    std::optional<TimePoint> told_at;
-    int since_told = 0;
+    std::optional<TimePoint> notified_at;
+    int sent_since = 0;
   };
   struct Daemon
   {
@@ -124,11 +124,11 @@
   bool IsAvoided(const Daemon& daemon, std::size_t server) const
   {
     return !daemon.links[server].backoff.MaySend(m_now) ||
-           (m_way == Way::ToldToAll && IsNews(server));
+           (m_scope == Scope::AllVms && IsSharedBackoff(server));
   }
-  bool IsNews(std::size_t server) const
+  bool IsSharedBackoff(std::size_t server) const
   {
-    return m_news_until[server] > m_now && m_news_from[server] <= m_now;
+    return m_shared_until[server] > m_now && m_shared_from[server] <= m_now;
   }
 
   void Dispatch(Request& request)
@@ -136,7 +136,8 @@
     Daemon& daemon = m_daemons[request.daemon];
     std::optional<std::size_t> best;
     const auto rank = [&](std::size_t server) {
-      return std::pair(m_way == Way::Hint && IsNews(server), daemon.links[server].in_flight);
+      return std::pair(m_scope == Scope::LowerPreference && IsSharedBackoff(server),
+                       daemon.links[server].in_flight);
     };
     const std::size_t first = m_random() % SERVERS;
     for (std::size_t i = 0; i < SERVERS; ++i)
@@ -157,11 +158,11 @@
   void WaitOrRefuse(const Request& request)
   {
     const Daemon& daemon = m_daemons[request.daemon];
-    const auto left = request.arrived + PATIENCE - m_now;
-    const bool hopeful = std::ranges::any_of(daemon.links, [&](const Link& link) {
+    const auto left = request.arrived + REQUEST_TIMEOUT - m_now;
+    const bool may_succeed = std::ranges::any_of(daemon.links, [&](const Link& link) {
       return link.backoff.Left(m_now) <= left;
     });
-    if (left > Milliseconds(0) && hopeful)
+    if (left > Milliseconds(0) && may_succeed)
       m_waiting.push_back(request);
     else
       ++m_outcome.refused;
@@ -171,18 +172,18 @@
   {
     Daemon& daemon = m_daemons[request.daemon];
     Link& link = daemon.links[server];
-    if (link.told_at && m_now > *link.told_at && m_now < *link.told_at + RETRY_AFTER)
-      m_outcome.in_backoff = std::max(m_outcome.in_backoff, ++link.since_told);
+    if (link.notified_at && m_now > *link.notified_at && m_now < *link.notified_at + RETRY_AFTER)
+      m_outcome.in_backoff = std::max(m_outcome.in_backoff, ++link.sent_since);
     const bool is_unfair = m_load == Load::OneUnfairVm && server == 0 && request.daemon == 0;
     Server& chosen = m_servers[server];
     if (chosen.in_system >= SLOTS + QUEUE || is_unfair)
     {
       ++m_outcome.rejections;
       link.backoff.NoteRetryAfter(RETRY_AFTER, m_now);
-      link.told_at = m_now;
-      link.since_told = 0;
-      m_news_from[server] = m_now + NEWS_DELAY;
-      m_news_until[server] = m_now + RETRY_AFTER;
+      link.notified_at = m_now;
+      link.sent_since = 0;
+      m_shared_from[server] = m_now + SHARING_DELAY;
+      m_shared_until[server] = m_now + RETRY_AFTER;
       request.tried.push_back(server);
       if (request.tried.size() < MAX_SERVERS)
         Dispatch(request);
@@ -215,25 +216,25 @@
     }
   }
 
-  Way m_way;
+  Scope m_scope;
   Load m_load;
   std::mt19937 m_random;
   TimePoint m_now;
   std::vector<Daemon> m_daemons;
   std::array<Server, SERVERS> m_servers;
-  std::array<TimePoint, SERVERS> m_news_from{};
-  std::array<TimePoint, SERVERS> m_news_until{};
+  std::array<TimePoint, SERVERS> m_shared_from{};
+  std::array<TimePoint, SERVERS> m_shared_until{};
   std::multimap<TimePoint, Running> m_running;
   std::vector<Request> m_waiting;
   Outcome m_outcome;
 };
 
-Outcome Play(Way way, Load load, std::size_t daemons)
+Outcome RunSeeds(Scope scope, Load load, std::size_t daemons)
 {
   Outcome sum;
   for (unsigned seed = 1; seed <= 3; ++seed)
   {
-    const Outcome one = Replay(way, load, daemons, seed).Run();
+    const Outcome one = Simulation(scope, load, daemons, seed).Run();
     sum.served += one.served;
     sum.refused += one.refused;
     sum.rejections += one.rejections;
@@ -242,7 +243,7 @@
   if (std::getenv("DRUMPOND_PRINT_REPLAYS") != nullptr)
     std::printf(
         "scope %d load %d daemons %zu: served %d refused %d rejections %d max in backoff %d\n",
-        static_cast<int>(way), static_cast<int>(load), daemons, sum.served, sum.refused,
+        static_cast<int>(scope), static_cast<int>(load), daemons, sum.served, sum.refused,
         sum.rejections, sum.in_backoff);
   return sum;
 }
@@ -250,20 +251,20 @@
 class BackoffReplayTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(BackoffReplayTest);
-  CPPUNIT_TEST(KeptForTheVmThatWasToldItServesTheMost);
+  CPPUNIT_TEST(BackoffOfTheReceivingVmServesTheMost);
   CPPUNIT_TEST_SUITE_END();
 
-  void KeptForTheVmThatWasToldItServesTheMost()
+  void BackoffOfTheReceivingVmServesTheMost()
   {
     for (const std::size_t daemons : {6, 77})
       for (const Load load : {Load::OneSlowServer, Load::Overload, Load::OneUnfairVm})
       {
-        const Outcome kept = Play(Way::Kept, load, daemons);
-        const Outcome told = Play(Way::ToldToAll, load, daemons);
-        const Outcome hint = Play(Way::Hint, load, daemons);
-        CPPUNIT_ASSERT(kept.in_backoff <= ALLOWED_IN_BACKOFF);
-        CPPUNIT_ASSERT(kept.served * 100 >= told.served * 99);
-        CPPUNIT_ASSERT(kept.served * 100 >= hint.served * 99);
+        const Outcome receiving_vm = RunSeeds(Scope::ReceivingVm, load, daemons);
+        const Outcome all_vms = RunSeeds(Scope::AllVms, load, daemons);
+        const Outcome lower_preference = RunSeeds(Scope::LowerPreference, load, daemons);
+        CPPUNIT_ASSERT(receiving_vm.in_backoff <= ALLOWED_IN_BACKOFF);
+        CPPUNIT_ASSERT(receiving_vm.served * 100 >= all_vms.served * 99);
+        CPPUNIT_ASSERT(receiving_vm.served * 100 >= lower_preference.served * 99);
       }
   }
 };
--- a/Source/UnitTests/Gateway/BackoffTest.cpp
+++ b/Source/UnitTests/Gateway/BackoffTest.cpp
@@ -39,22 +39,22 @@
 class BackoffTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(BackoffTest);
-  CPPUNIT_TEST(TheLatestEndCounts);
-  CPPUNIT_TEST(AnAnswerToAnEarlierRequestEndsNothing);
-  CPPUNIT_TEST(RequestsComeBackSlowly);
-  CPPUNIT_TEST(ARequestThatFailsMakesRoomForTheNext);
-  CPPUNIT_TEST(RenewedTimesAddUp);
-  CPPUNIT_TEST(WhoWaitsIsServedFirstAndNotAllAtOnce);
-  CPPUNIT_TEST(ARequestThatMayRunOnceGoesBackToTheServerThatDeferredIt);
-  CPPUNIT_TEST(AServersOther503IsLeftAloneTooAndIsNoPromise);
-  CPPUNIT_TEST(ARetryAfterThatCannotBeReadStopsNothing);
-  CPPUNIT_TEST(ALimitAndABackoffBothCount);
-  CPPUNIT_TEST(WhoWaitsIsRefusedWhenTheTimeIsRenewed);
-  CPPUNIT_TEST(AnswersToOrdersCount);
-  CPPUNIT_TEST(WhatAnOrdersAnswerLeavesOutIsNotOver);
+  CPPUNIT_TEST(LatestEndTakesEffect);
+  CPPUNIT_TEST(ResponseToAnEarlierRequestDoesNotEndTheBackoff);
+  CPPUNIT_TEST(RequestsResumeWithASlowStart);
+  CPPUNIT_TEST(FailedRequestFreesItsPlaceInTheWindow);
+  CPPUNIT_TEST(RenewedRetryAftersAddUp);
+  CPPUNIT_TEST(WaitingRequestsAreServedInOrderWithASlowStart);
+  CPPUNIT_TEST(NonIdempotentRequestIsRetriedAtTheServerThatRejectedIt);
+  CPPUNIT_TEST(Unconfirmed503StartsABackoffAndIsAnsweredWith502);
+  CPPUNIT_TEST(MalformedRetryAfterStartsNoBackoff);
+  CPPUNIT_TEST(LimitAndBackoffBothApply);
+  CPPUNIT_TEST(WaitingRequestIsRefusedWhenTheBackoffIsRenewed);
+  CPPUNIT_TEST(SignalsInOrderResponsesApply);
+  CPPUNIT_TEST(SignalsMissingInAnOrderResponseAreKept);
   CPPUNIT_TEST_SUITE_END();
 
-  void TheLatestEndCounts()
+  void LatestEndTakesEffect()
   {
     Backoff backoff;
     CPPUNIT_ASSERT(backoff.NoteRetryAfter(Milliseconds(3000), At(0)));
@@ -67,7 +67,7 @@
     CPPUNIT_ASSERT(backoff.MaySend(At(4000)));
   }
 
-  void AnAnswerToAnEarlierRequestEndsNothing()
+  void ResponseToAnEarlierRequestDoesNotEndTheBackoff()
   {
     Backoff backoff;
     backoff.NoteRetryAfter(Milliseconds(1000), At(0));
@@ -78,7 +78,7 @@
     CPPUNIT_ASSERT(!backoff.MaySend(At(1001)));
   }
 
-  void RequestsComeBackSlowly()
+  void RequestsResumeWithASlowStart()
   {
     Backoff backoff;
     backoff.NoteRetryAfter(Milliseconds(1000), At(0));
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT(sent <= SLOTS);
   }
 
-  void ARequestThatFailsMakesRoomForTheNext()
+  void FailedRequestFreesItsPlaceInTheWindow()
   {
     Backoff backoff;
     backoff.NoteRetryAfter(Milliseconds(1000), At(0));
@@ -110,7 +110,7 @@
     CPPUNIT_ASSERT(!backoff.MaySend(At(1100)));
   }
 
-  void RenewedTimesAddUp()
+  void RenewedRetryAftersAddUp()
   {
     Backoff backoff;
     CPPUNIT_ASSERT(backoff.RetryAfterSpan(At(0)) == Milliseconds(0));
@@ -125,7 +125,7 @@
     CPPUNIT_ASSERT(backoff.RetryAfterSpan(At(2200)) == Milliseconds(1000));
   }
 
-  void WhoWaitsIsServedFirstAndNotAllAtOnce()
+  void WaitingRequestsAreServedInOrderWithASlowStart()
   {
     std::vector<std::pair<std::string, TimePoint>> arrivals;
     std::vector<TestPeer*> unanswered;
@@ -170,7 +170,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("third"), arrivals[3].first);
   }
 
-  void ARequestThatMayRunOnceGoesBackToTheServerThatDeferredIt()
+  void NonIdempotentRequestIsRetriedAtTheServerThatRejectedIt()
   {
     int arrivals = 0;
     TestServer server([&](TestPeer& peer, const std::string& head) {
@@ -184,7 +184,7 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), world.dispatcher.Counters().sent_in_backoff);
   }
 
-  void AServersOther503IsLeftAloneTooAndIsNoPromise()
+  void Unconfirmed503StartsABackoffAndIsAnsweredWith502()
   {
     TestServer server([&](TestPeer& peer, const std::string& head) {
       peer.stream->Write("HTTP/1.1 503 x\r\nReq-Id: " + HeaderOf(head, "Req-Id") +
@@ -201,7 +201,7 @@
     CPPUNIT_ASSERT(come_back >= 29 && come_back < 34);
   }
 
-  void ARetryAfterThatCannotBeReadStopsNothing()
+  void MalformedRetryAfterStartsNoBackoff()
   {
     int arrivals = 0;
     TestServer server([&](TestPeer& peer, const std::string& head) {
@@ -217,7 +217,7 @@
                         .IsRetryAfterActive(Common::Now()));
   }
 
-  void ALimitAndABackoffBothCount()
+  void LimitAndBackoffBothApply()
   {
     TestServer server([&](TestPeer& peer, const std::string& head) {
       std::string answer = Rejection(head, "30");
@@ -235,7 +235,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), server.requests.size());
   }
 
-  void WhoWaitsIsRefusedWhenTheTimeIsRenewed()
+  void WaitingRequestIsRefusedWhenTheBackoffIsRenewed()
   {
     TestServer server([&](TestPeer& peer, const std::string& head) {
       peer.stream->Write(Rejection(head, HeaderOf(head, "Req-Id") == "id-1" ? "0.2" : "30"));
@@ -254,7 +254,7 @@
     CPPUNIT_ASSERT(Common::Now() - renewed < Milliseconds(50));
   }
 
-  void AnswersToOrdersCount()
+  void SignalsInOrderResponsesApply()
   {
     World world;
     TestServer server([](TestPeer&, const std::string&) {});
@@ -270,7 +270,7 @@
     CPPUNIT_ASSERT(server.requests.empty());
   }
 
-  void WhatAnOrdersAnswerLeavesOutIsNotOver()
+  void SignalsMissingInAnOrderResponseAreKept()
   {
     World world;
     TestServer server([](TestPeer&, const std::string&) {});
--- a/Source/UnitTests/Gateway/CrashDetectorTest.cpp
+++ b/Source/UnitTests/Gateway/CrashDetectorTest.cpp
@@ -70,16 +70,16 @@
 class CrashDetectorTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CrashDetectorTest);
-  CPPUNIT_TEST(ARefusedConnectionSettlesIt);
-  CPPUNIT_TEST(AnotherRequestsRefusalSettlesItAtOnce);
-  CPPUNIT_TEST(AResetConnectionOfALivingServerIsNoEnd);
-  CPPUNIT_TEST(ASilentServerIsNoEnd);
-  CPPUNIT_TEST(APlannedEndIsNobodysFault);
-  CPPUNIT_TEST(AnEarlierLifesEndIsNobodysFault);
-  CPPUNIT_TEST(WhatHadRunForLongIsSuspectedLast);
+  CPPUNIT_TEST(RefusedProbeConnectionIsACrash);
+  CPPUNIT_TEST(RefusedConnectionOfAnotherRequestIsACrashAtOnce);
+  CPPUNIT_TEST(ResetConnectionOfARunningServerIsNoCrash);
+  CPPUNIT_TEST(UnreachableServerIsNoCrash);
+  CPPUNIT_TEST(PlannedShutdownIsNoCrash);
+  CPPUNIT_TEST(BrokenConnectionOfAPreviousInstanceIsNoCrash);
+  CPPUNIT_TEST(LongRunningRequestIsSuspectedLast);
   CPPUNIT_TEST_SUITE_END();
 
-  void ARefusedConnectionSettlesIt()
+  void RefusedProbeConnectionIsACrash()
   {
     World world;
     world.process.reset();
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT(!world.detector.IsCheckPending(NEW));
   }
 
-  void AnotherRequestsRefusalSettlesItAtOnce()
+  void RefusedConnectionOfAnotherRequestIsACrashAtOnce()
   {
     World world;
     world.Break(NEW);
@@ -99,7 +99,7 @@
     CPPUNIT_ASSERT(world.suspected == std::vector{NEW});
   }
 
-  void AResetConnectionOfALivingServerIsNoEnd()
+  void ResetConnectionOfARunningServerIsNoCrash()
   {
     World world;
     world.Break(NEW);
@@ -109,7 +109,7 @@
 
   /// During a network partition a connection attempt is not even refused. This is simulated by a
   /// listener with a full backlog, which drops connection attempts.
-  void ASilentServerIsNoEnd()
+  void UnreachableServerIsNoCrash()
   {
     World world;
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
@@ -131,7 +131,7 @@
     close(fd);
   }
 
-  void APlannedEndIsNobodysFault()
+  void PlannedShutdownIsNoCrash()
   {
     World world;
     world.process.reset();
@@ -145,7 +145,7 @@
     CPPUNIT_ASSERT(!world.detector.IsCheckPending(NEW));
   }
 
-  void AnEarlierLifesEndIsNobodysFault()
+  void BrokenConnectionOfAPreviousInstanceIsNoCrash()
   {
     World world;
     const ServerPtr before = world.Server();
@@ -155,7 +155,7 @@
     CPPUNIT_ASSERT(!world.detector.IsCheckPending(NEW));
   }
 
-  void WhatHadRunForLongIsSuspectedLast()
+  void LongRunningRequestIsSuspectedLast()
   {
     World world;
     world.process.reset();
--- a/Source/UnitTests/Gateway/DrainStateTest.cpp
+++ b/Source/UnitTests/Gateway/DrainStateTest.cpp
@@ -26,17 +26,17 @@
 class DrainStateTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DrainStateTest);
-  CPPUNIT_TEST(AnAnswerIsFinalAfterItsGrace);
-  CPPUNIT_TEST(AnEntryEndsItAtOnceAndMayTakeItBack);
-  CPPUNIT_TEST(WhatOthersWereToldIsContradictedByALaterAnswer);
-  CPPUNIT_TEST(WhatIsKnownOutlastsAnEntryThatLapses);
-  CPPUNIT_TEST(ANewLifeIsNotDraining);
-  CPPUNIT_TEST(WhatANewLifeToldBeforeItsEntryCameCounts);
-  CPPUNIT_TEST(AllDaemonsLearnOfItWhateverBecomesOfTheNews);
-  CPPUNIT_TEST(OldNewsIsForgottenAndNotToldAnew);
+  CPPUNIT_TEST(AnnouncementIsFinalAfterTheGracePeriod);
+  CPPUNIT_TEST(EntryAppliesAtOnceAndCanBeWithdrawn);
+  CPPUNIT_TEST(LaterResponseOverridesAReportOfAnotherVm);
+  CPPUNIT_TEST(ConditionIsKeptWhileAnEntryIsExpired);
+  CPPUNIT_TEST(RestartedServerIsNotDraining);
+  CPPUNIT_TEST(AnnouncementBeforeTheEntryOfARestartedServerApplies);
+  CPPUNIT_TEST(AllDaemonsLearnOfADrainDespiteMessageLoss);
+  CPPUNIT_TEST(OldEntriesExpireAndAreNotAnnouncedAgain);
   CPPUNIT_TEST_SUITE_END();
 
-  void AnAnswerIsFinalAfterItsGrace()
+  void AnnouncementIsFinalAfterTheGracePeriod()
   {
     DrainState state;
     CPPUNIT_ASSERT(state.NoteAnnounced(START));
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT(!state.MayServe(START + std::chrono::hours(24), GRACE));
   }
 
-  void AnEntryEndsItAtOnceAndMayTakeItBack()
+  void EntryAppliesAtOnceAndCanBeWithdrawn()
   {
     DrainState state;
     state.SetEntry(true);
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT(!state.MayServe(START, GRACE));
   }
 
-  void WhatOthersWereToldIsContradictedByALaterAnswer()
+  void LaterResponseOverridesAReportOfAnotherVm()
   {
     DrainState state;
     state.NoteReported(START);
@@ -83,7 +83,7 @@
   }
 
   /// Entries expire during an outage of the platform's store and are written again unchanged.
-  void WhatIsKnownOutlastsAnEntryThatLapses()
+  void ConditionIsKeptWhileAnEntryIsExpired()
   {
     ServerDirectory directory;
     directory.Put(EntryOf(1));
@@ -100,7 +100,7 @@
     CPPUNIT_ASSERT(after->GetBackoff().IsActive(now));
   }
 
-  void ANewLifeIsNotDraining()
+  void RestartedServerIsNotDraining()
   {
     ServerDirectory directory;
     directory.Put(EntryOf(1));
@@ -110,23 +110,23 @@
   }
 
   /// A server has restarted under its id, and its responses arrive before its new entry.
-  void WhatANewLifeToldBeforeItsEntryCameCounts()
+  void AnnouncementBeforeTheEntryOfARestartedServerApplies()
   {
     ServerDirectory directory;
     directory.SetDrainGrace(GRACE);
     directory.Put(EntryOf(1));
-    const auto told_at = Common::Now();
+    const auto announced_at = Common::Now();
     const ServerPtr before = directory.FindLatest(InstanceId("i-1"));
-    before->Drain().NoteAnnounced(told_at);
-    before->GetBackoff().NoteRetryAfter(Milliseconds(3000), told_at);
+    before->Drain().NoteAnnounced(announced_at);
+    before->GetBackoff().NoteRetryAfter(Milliseconds(3000), announced_at);
     directory.Put(EntryOf(2));
     const ServerPtr next = directory.FindLatest(InstanceId("i-1"));
-    CPPUNIT_ASSERT(next->GetBackoff().IsRetryAfterActive(told_at));
-    next->Drain().NoteAnnounced(told_at + GRACE * 2);
-    CPPUNIT_ASSERT(!next->TakesWork(told_at + GRACE * 2));
+    CPPUNIT_ASSERT(next->GetBackoff().IsRetryAfterActive(announced_at));
+    next->Drain().NoteAnnounced(announced_at + GRACE * 2);
+    CPPUNIT_ASSERT(!next->TakesWork(announced_at + GRACE * 2));
   }
 
-  void OldNewsIsForgottenAndNotToldAnew()
+  void OldEntriesExpireAndAreNotAnnouncedAgain()
   {
     DrainRegistry holder;
     DrainRegistry daemon;
@@ -147,11 +147,11 @@
     TimePoint arrives_at;
     std::size_t to = 0;
     std::int64_t tenure = 0; ///< Tenure of the holder that is the sender or recipient.
-    bool is_news = false;
+    bool is_update = false;
     std::vector<ServerKey> servers;
   };
 
-  void AllDaemonsLearnOfItWhateverBecomesOfTheNews()
+  void AllDaemonsLearnOfADrainDespiteMessageLoss()
   {
     for (unsigned seed = 1; seed <= 20; ++seed)
     {
@@ -160,49 +160,49 @@
         return random() % bound;
       };
       constexpr std::size_t DAEMONS = 12;
-      std::vector<DrainRegistry> books(DAEMONS);
-      std::deque<Message> on_the_way;
+      std::vector<DrainRegistry> registries(DAEMONS);
+      std::deque<Message> in_transit;
       const auto send = [&](const Message& message) {
         for (unsigned copies = draw(10) < 2 ? 0 : 1 + draw(2); copies > 0; --copies)
         {
-          on_the_way.push_back(message);
-          on_the_way.back().arrives_at += Milliseconds(draw(400));
+          in_transit.push_back(message);
+          in_transit.back().arrives_at += Milliseconds(draw(400));
         }
       };
       std::size_t holder = 0;
       std::int64_t tenure = 1;
-      books[holder].BeginTenure(tenure);
+      registries[holder].BeginTenure(tenure);
       const ServerKey server(7);
-      books[3].Note(server, START);
+      registries[3].Note(server, START);
       for (int tick = 0; tick < 60; ++tick)
       {
         const auto now = START + Milliseconds(100 * tick);
         if (tick % 15 == 14)
         {
           // The holder fails, possibly before it has announced the server.
-          books[holder].EndTenure();
+          registries[holder].EndTenure();
           holder = draw(DAEMONS);
-          books[holder].BeginTenure(++tenure);
+          registries[holder].BeginTenure(++tenure);
         }
         for (std::size_t i = 0; i < DAEMONS; ++i)
-          if (const auto unconfirmed = books[i].Unconfirmed(); !unconfirmed.empty())
+          if (const auto unconfirmed = registries[i].Unconfirmed(); !unconfirmed.empty())
             send({now, holder, tenure, false, unconfirmed});
         for (std::size_t i = 0; i < DAEMONS; ++i)
-          send({now, i, tenure, true, books[holder].NextUpdate(1, now)});
+          send({now, i, tenure, true, registries[holder].NextUpdate(1, now)});
         std::deque<Message> later;
-        for (const Message& message : on_the_way)
+        for (const Message& message : in_transit)
         {
           if (message.arrives_at > now)
             later.push_back(message);
-          else if (message.is_news)
-            books[message.to].ApplyUpdate(message.tenure, message.servers, now);
+          else if (message.is_update)
+            registries[message.to].ApplyUpdate(message.tenure, message.servers, now);
           else if (message.to == holder && message.tenure == tenure)
-            books[holder].Note(message.servers.front(), now);
+            registries[holder].Note(message.servers.front(), now);
         }
-        on_the_way = later;
+        in_transit = later;
       }
-      CPPUNIT_ASSERT(std::ranges::all_of(books, [&](const DrainRegistry& book) {
-        return book.Contains(server) && book.Unconfirmed().empty();
+      CPPUNIT_ASSERT(std::ranges::all_of(registries, [&](const DrainRegistry& registry) {
+        return registry.Contains(server) && registry.Unconfirmed().empty();
       }));
     }
   }
--- a/Source/UnitTests/Gateway/DrainingServersTest.cpp
+++ b/Source/UnitTests/Gateway/DrainingServersTest.cpp
@@ -33,17 +33,17 @@
 class DrainingServersTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DrainingServersTest);
-  CPPUNIT_TEST(TheHeadOfARunningStreamCounts);
-  CPPUNIT_TEST(ARejectionCounts);
-  CPPUNIT_TEST(AnAnswerThatBreaksOffCounts);
-  CPPUNIT_TEST(AnInterimAnswerCounts);
-  CPPUNIT_TEST(WhatAnotherProcessSaysDoesNotCount);
-  CPPUNIT_TEST(TheOnlyServerServesUntilTheGraceIsOver);
-  CPPUNIT_TEST(TheEntryDoesNotOverruleTheAnswer);
-  CPPUNIT_TEST(AFalseAnswerToAnotherVmTakesNoServerAway);
+  CPPUNIT_TEST(AnnouncementInTheHeadOfAStreamApplies);
+  CPPUNIT_TEST(AnnouncementInARejectionApplies);
+  CPPUNIT_TEST(AnnouncementInATruncatedResponseApplies);
+  CPPUNIT_TEST(AnnouncementInAnInterimResponseApplies);
+  CPPUNIT_TEST(AnnouncementOfAnotherProcessIsIgnored);
+  CPPUNIT_TEST(OnlyServerServesUntilTheGracePeriodEnds);
+  CPPUNIT_TEST(EntryDoesNotOverrideTheAnnouncement);
+  CPPUNIT_TEST(FalseReportOfAnotherVmIsOverridden);
   CPPUNIT_TEST_SUITE_END();
 
-  static bool Drains(const World& world)
+  static bool BecomesDraining(const World& world)
   {
     return UnitTests::RunUntil(
         [&] {
@@ -52,7 +52,7 @@
         Milliseconds(500));
   }
 
-  void TheHeadOfARunningStreamCounts()
+  void AnnouncementInTheHeadOfAStreamApplies()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(With("Leaving: 1", StreamHead(head)) + Chunk(Event(1)));
@@ -60,10 +60,10 @@
     World world;
     world.AddServer("i-1", server.Address());
     world.Ask(STREAM_PATH, "id-1");
-    CPPUNIT_ASSERT(Drains(world));
+    CPPUNIT_ASSERT(BecomesDraining(world));
   }
 
-  void ARejectionCounts()
+  void AnnouncementInARejectionApplies()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write("HTTP/1.1 503 x\r\nReq-Id: " + HeaderOf(head, "Req-Id") +
@@ -72,10 +72,10 @@
     World world;
     world.AddServer("i-1", server.Address());
     world.Ask(PLAIN_PATH, "id-1");
-    CPPUNIT_ASSERT(Drains(world));
+    CPPUNIT_ASSERT(BecomesDraining(world));
   }
 
-  void AnAnswerThatBreaksOffCounts()
+  void AnnouncementInATruncatedResponseApplies()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       const std::string answer = With("Leaving: 1", Answer(head, "whole"));
@@ -85,10 +85,10 @@
     World world;
     world.AddServer("i-1", server.Address());
     world.Ask(PLAIN_PATH, "id-1");
-    CPPUNIT_ASSERT(Drains(world));
+    CPPUNIT_ASSERT(BecomesDraining(world));
   }
 
-  void AnInterimAnswerCounts()
+  void AnnouncementInAnInterimResponseApplies()
   {
     TestServer server([](TestPeer& peer, const std::string&) {
       peer.stream->Write("HTTP/1.1 103 Early Hints\r\nLeaving: 1\r\n\r\n");
@@ -96,10 +96,10 @@
     World world;
     world.AddServer("i-1", server.Address());
     world.Ask(PLAIN_PATH, "id-1");
-    CPPUNIT_ASSERT(Drains(world));
+    CPPUNIT_ASSERT(BecomesDraining(world));
   }
 
-  void WhatAnotherProcessSaysDoesNotCount()
+  void AnnouncementOfAnotherProcessIsIgnored()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(With("Leaving: 1\r\nInstance: i-9", Answer(head, "ok")));
@@ -112,7 +112,7 @@
   }
 
   /// Until the server shuts down, it still serves requests that no other server can take.
-  void TheOnlyServerServesUntilTheGraceIsOver()
+  void OnlyServerServesUntilTheGracePeriodEnds()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(With("Leaving: 1", Answer(head, HeaderOf(head, "Req-Id"))));
@@ -131,7 +131,7 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(0), world.dispatcher.Counters().sent_after_drain);
   }
 
-  void TheEntryDoesNotOverruleTheAnswer()
+  void EntryDoesNotOverrideTheAnnouncement()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(With("Leaving: 1", Answer(head, "ok")));
@@ -141,13 +141,13 @@
     world.Ask(PLAIN_PATH, "id-1");
     CPPUNIT_ASSERT(world.CallerGot("200 OK"));
     world.AddServer("i-1", server.Address());
-    CPPUNIT_ASSERT(Drains(world));
+    CPPUNIT_ASSERT(BecomesDraining(world));
     world.dispatcher.Servers().Remove(FIRST);
     world.AddServer("i-1", server.Address());
-    CPPUNIT_ASSERT(Drains(world));
+    CPPUNIT_ASSERT(BecomesDraining(world));
   }
 
-  void AFalseAnswerToAnotherVmTakesNoServerAway()
+  void FalseReportOfAnotherVmIsOverridden()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(Answer(head, "ok"));
--- a/Source/UnitTests/Gateway/ServerRestartTest.cpp
+++ b/Source/UnitTests/Gateway/ServerRestartTest.cpp
@@ -35,11 +35,11 @@
 class ServerRestartTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ServerRestartTest);
-  CPPUNIT_TEST(ANewStartVoidsWhatWasBelieved);
-  CPPUNIT_TEST(AnEntryOfTheLifeBeforeChangesNothing);
-  CPPUNIT_TEST(TwoRestartsBetweenTwoLooks);
-  CPPUNIT_TEST(TheServerOfARequestIsGoneWithItsLife);
-  CPPUNIT_TEST(AnEntryThatCannotBeReadNamesNoServer);
+  CPPUNIT_TEST(RestartDiscardsTheStateOfThePreviousInstance);
+  CPPUNIT_TEST(EntryOfThePreviousInstanceIsIgnored);
+  CPPUNIT_TEST(EntriesOfTwoRestartsArriveOutOfOrder);
+  CPPUNIT_TEST(ServerIsNotFoundAfterItsRestart);
+  CPPUNIT_TEST(MalformedEntryRemovesTheServer);
   CPPUNIT_TEST_SUITE_END();
 
   static const Server& TheServer(const ServerDirectory& directory)
@@ -48,7 +48,7 @@
     return *directory.All().begin()->second;
   }
 
-  void ANewStartVoidsWhatWasBelieved()
+  void RestartDiscardsTheStateOfThePreviousInstance()
   {
     ServerDirectory directory;
     ServerDiscovery discovery(directory);
@@ -70,7 +70,7 @@
     CPPUNIT_ASSERT(directory.Revision() > revision);
   }
 
-  void AnEntryOfTheLifeBeforeChangesNothing()
+  void EntryOfThePreviousInstanceIsIgnored()
   {
     ServerDirectory directory;
     ServerDiscovery discovery(directory);
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT(!TheServer(directory).HoldsModel(ModelId("m")));
   }
 
-  void TwoRestartsBetweenTwoLooks()
+  void EntriesOfTwoRestartsArriveOutOfOrder()
   {
     ServerDirectory directory;
     ServerDiscovery discovery(directory);
@@ -92,7 +92,7 @@
   }
 
   /// A stream counts as lost as soon as its server has restarted.
-  void TheServerOfARequestIsGoneWithItsLife()
+  void ServerIsNotFoundAfterItsRestart()
   {
     ServerDirectory directory;
     ServerDiscovery discovery(directory);
@@ -104,7 +104,7 @@
 
   /// A changed entry that was malformed used to leave the previous one in use. The server must also
   /// be removed right after a store outage, when removals of entries are otherwise delayed.
-  void AnEntryThatCannotBeReadNamesNoServer()
+  void MalformedEntryRemovesTheServer()
   {
     ServerDirectory directory;
     ServerDiscovery discovery(directory);
--- a/Source/UnitTests/Gateway/ServerSignalsTest.cpp
+++ b/Source/UnitTests/Gateway/ServerSignalsTest.cpp
@@ -17,12 +17,12 @@
 class ServerSignalsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ServerSignalsTest);
-  CPPUNIT_TEST(AnAnswerWithoutSignalsTellsNothing);
-  CPPUNIT_TEST(DrainingIsTheNumberOne);
-  CPPUNIT_TEST(ARetryAfterIsSecondsOrADate);
-  CPPUNIT_TEST(OfSeveralValuesTheStrictestCounts);
-  CPPUNIT_TEST(OnlyRejectionsForLoadNameABackoff);
-  CPPUNIT_TEST(ARejectionSaysThatTheRequestHasNotRun);
+  CPPUNIT_TEST(ResponseWithoutHeadersHasNoSignals);
+  CPPUNIT_TEST(DrainingRequiresTheValueOne);
+  CPPUNIT_TEST(RetryAfterIsSecondsOrADate);
+  CPPUNIT_TEST(StrictestOfSeveralValuesApplies);
+  CPPUNIT_TEST(OnlyOverloadRejectionsHaveABackoff);
+  CPPUNIT_TEST(RejectionsMarkTheRequestAsNotRun);
   CPPUNIT_TEST_SUITE_END();
 
   static ServerSignals Read(int status, const std::vector<Http::HeaderField>& headers)
@@ -34,7 +34,7 @@
     return Read(503, {{"Retry-After", value}}).backoff;
   }
 
-  void AnAnswerWithoutSignalsTellsNothing()
+  void ResponseWithoutHeadersHasNoSignals()
   {
     const ServerSignals signals = Read(200, {{"Content-Length", "2"}});
     CPPUNIT_ASSERT(!signals.instance && !signals.not_run && !signals.draining);
@@ -42,7 +42,7 @@
     CPPUNIT_ASSERT(signals.invalid.empty());
   }
 
-  void DrainingIsTheNumberOne()
+  void DrainingRequiresTheValueOne()
   {
     CPPUNIT_ASSERT(Read(200, {{"leaving", "1 "}}).draining);
     CPPUNIT_ASSERT(!Read(200, {{"Leaving", "0"}}).draining);
@@ -55,7 +55,7 @@
     }
   }
 
-  void ARetryAfterIsSecondsOrADate()
+  void RetryAfterIsSecondsOrADate()
   {
     CPPUNIT_ASSERT(Backoff("3") == Milliseconds(3000));
     CPPUNIT_ASSERT(Backoff("1.5") == Milliseconds(1500));
@@ -73,7 +73,7 @@
     }
   }
 
-  void OfSeveralValuesTheStrictestCounts()
+  void StrictestOfSeveralValuesApplies()
   {
     CPPUNIT_ASSERT(Read(200, {{"Leaving", "0"}, {"Leaving", "1"}}).draining);
     CPPUNIT_ASSERT(
@@ -83,14 +83,14 @@
                    RateLimits::RequestRate(2000));
   }
 
-  void OnlyRejectionsForLoadNameABackoff()
+  void OnlyOverloadRejectionsHaveABackoff()
   {
     CPPUNIT_ASSERT(Read(429, {{"Retry-After", "1"}}).backoff);
     for (const int status : {200, 301, 421, 500, 504})
       CPPUNIT_ASSERT(!Read(status, {{"Retry-After", "1"}}).backoff);
   }
 
-  void ARejectionSaysThatTheRequestHasNotRun()
+  void RejectionsMarkTheRequestAsNotRun()
   {
     CPPUNIT_ASSERT(Read(503, {{"Did-Not-Run", "1"}}).not_run);
     CPPUNIT_ASSERT(Read(421, {}).not_run);
--- a/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
+++ b/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
@@ -17,16 +17,16 @@
 class SilenceDetectorTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(SilenceDetectorTest);
-  CPPUNIT_TEST(WhoOwesNothingIsNotSilent);
-  CPPUNIT_TEST(SilenceCountsFromTheOldestUnansweredRequest);
-  CPPUNIT_TEST(OneUnansweredRequestIsNoSilence);
-  CPPUNIT_TEST(AnyByteEndsIt);
-  CPPUNIT_TEST(TheLimitFollowsThePausesSeen);
-  CPPUNIT_TEST(ASilentServerGetsNoNewRequests);
-  CPPUNIT_TEST(AServerThatWasSilentToItsLastRequestIsEjected);
+  CPPUNIT_TEST(ServerWithoutPendingRequestsIsNotSilent);
+  CPPUNIT_TEST(SilenceStartsAtTheOldestPendingRequest);
+  CPPUNIT_TEST(SinglePendingRequestIsNoSilence);
+  CPPUNIT_TEST(AnyReceivedDataEndsTheSilence);
+  CPPUNIT_TEST(LimitAdaptsToObservedPauses);
+  CPPUNIT_TEST(SilentServerGetsNoNewRequests);
+  CPPUNIT_TEST(ServerThatIsSilentToItsLastRequestIsEjected);
   CPPUNIT_TEST_SUITE_END();
 
-  void WhoOwesNothingIsNotSilent()
+  void ServerWithoutPendingRequestsIsNotSilent()
   {
     SilenceDetector detector;
     CPPUNIT_ASSERT(!detector.IsSilent(NOW));
@@ -35,7 +35,7 @@
     CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(10000)));
   }
 
-  void SilenceCountsFromTheOldestUnansweredRequest()
+  void SilenceStartsAtTheOldestPendingRequest()
   {
     SilenceDetector detector;
     detector.NoteSent(NOW);
@@ -44,7 +44,7 @@
     CPPUNIT_ASSERT(detector.IsSilent(NOW + Milliseconds(301)));
   }
 
-  void OneUnansweredRequestIsNoSilence()
+  void SinglePendingRequestIsNoSilence()
   {
     SilenceDetector detector;
     detector.NoteSent(NOW);
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT(server.IsAvailable(NOW + Milliseconds(1101)));
   }
 
-  void AnyByteEndsIt()
+  void AnyReceivedDataEndsTheSilence()
   {
     SilenceDetector detector;
     detector.NoteSent(NOW);
@@ -64,7 +64,7 @@
     CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(500)));
   }
 
-  void TheLimitFollowsThePausesSeen()
+  void LimitAdaptsToObservedPauses()
   {
     SilenceDetector steady;
     SilenceDetector slow;
@@ -81,7 +81,7 @@
     CPPUNIT_ASSERT_EQUAL(Milliseconds(1500).count(), slow.Limit().count());
   }
 
-  void ASilentServerGetsNoNewRequests()
+  void SilentServerGetsNoNewRequests()
   {
     Server server(ServerEntry{});
     server.NoteStart({}, NOW);
@@ -92,7 +92,7 @@
     CPPUNIT_ASSERT(server.IsAvailable(NOW + Milliseconds(500)));
   }
 
-  void AServerThatWasSilentToItsLastRequestIsEjected()
+  void ServerThatIsSilentToItsLastRequestIsEjected()
   {
     Server server(ServerEntry{});
     server.NoteStart({}, NOW);
