--- a/Source/Core/Crashes/CrashLedger.cpp
+++ b/Source/Core/Crashes/CrashLedger.cpp
@@ -109,13 +109,13 @@
 void CrashLedger::NoteRequestSuccess(const Fingerprint& request, TimePoint now)
 {
   // Each recorded completion is sent to the other daemons; more frequent ones add no information.
-  constexpr Milliseconds REPEAT_AFTER = CrashLedger::SUCCESS_GRACE / 3;
+  constexpr Milliseconds MIN_REPEAT_INTERVAL = CrashLedger::SUCCESS_GRACE / 3;
   const auto found = m_cases.find(request);
   if (found == m_cases.end())
     return;
   const Case& known = found->second;
   if (known.server_crashes.empty() && known.last_success &&
-      now - *known.last_success < REPEAT_AFTER)
+      now - *known.last_success < MIN_REPEAT_INTERVAL)
     return;
   Clear(found->second, now);
   MarkChanged(found->second, now);
@@ -157,8 +157,8 @@
   {
     const TimePoint last_success = now - Milliseconds(line.last_success_age_ms);
     // A repeated message yields a slightly later time for the same completion.
-    constexpr Milliseconds SAME{2000};
-    if (!entry.last_success || last_success > *entry.last_success + SAME)
+    constexpr Milliseconds MAX_TIME_SHIFT{2000};
+    if (!entry.last_success || last_success > *entry.last_success + MAX_TIME_SHIFT)
     {
       Clear(entry, last_success);
       changed = true;
@@ -228,8 +228,7 @@
   Case& entry = m_cases.at(request);
   if (entry.IsBlocked(now) || CountIndependentCrashes(entry) < CrashesToBlock(entry))
     return;
-  const auto span =
-      std::min(FIRST_BLOCK * (1 << std::min(entry.blocks, MAX_DOUBLINGS)), LONGEST_BLOCK);
+  const auto span = std::min(FIRST_BLOCK * (1 << std::min(entry.blocks, MAX_DOUBLINGS)), MAX_BLOCK);
   ++entry.blocks;
   entry.blocked_at = now;
   entry.blocked_until = now + span;
--- a/Source/Core/Crashes/CrashLedger.h
+++ b/Source/Core/Crashes/CrashLedger.h
@@ -56,7 +56,7 @@
   /// Duration of the first block. Each later one is twice as long, up to the longest. A fixed
   /// engine serves the request again after the block expires.
   static constexpr Common::Milliseconds FIRST_BLOCK{std::chrono::minutes(10)};
-  static constexpr Common::Milliseconds LONGEST_BLOCK{std::chrono::hours(6)};
+  static constexpr Common::Milliseconds MAX_BLOCK{std::chrono::hours(6)};
   /// A case is removed this long after its last change or the end of its block.
   static constexpr Common::Milliseconds RETENTION{std::chrono::hours(1)};
   /// Maximum number of cases, about 2 MB. Beyond it, those with the fewest crashes are evicted
--- a/Source/Core/Gateway/CrashDetector.cpp
+++ b/Source/Core/Gateway/CrashDetector.cpp
@@ -89,9 +89,9 @@
 {
   const InstanceId& instance = server->Entry().instance;
   // A server that shuts down as planned may break its remaining connections.
-  const bool leaves =
+  const bool is_planned =
       server->IsDraining() || server->IsReplaced() || m_servers.Find(instance) != server;
-  if (leaves)
+  if (is_planned)
     return;
   const auto [found, is_new] = m_pending_checks.try_emplace(instance);
   PendingCheck& check = found->second;
--- a/Source/Core/Gateway/ServerDiscovery.cpp
+++ b/Source/Core/Gateway/ServerDiscovery.cpp
@@ -57,7 +57,7 @@
   });
 }
 
-void ServerDiscovery::ApplyUnreadable(const InstanceId& instance)
+void ServerDiscovery::ApplyMalformed(const InstanceId& instance)
 {
   if (const ServerPtr server = m_directory.FindLatest(instance))
     m_directory.Remove(server->Entry().instance);
--- a/Source/Core/Gateway/ServerDiscovery.h
+++ b/Source/Core/Gateway/ServerDiscovery.h
@@ -26,7 +26,7 @@
   /// Applies the removal of the entry under the id of `instance`, whichever instance it was for.
   void ApplyRemoval(const InstanceId& instance, Common::TimePoint now);
   /// Removes the server without delay because the entry under the id of `instance` is malformed.
-  void ApplyUnreadable(const InstanceId& instance);
+  void ApplyMalformed(const InstanceId& instance);
   void NoteStoreLost();
   void NoteStoreRestored(Common::TimePoint now);
 
--- a/Source/Core/Gateway/ServerHealth.cpp
+++ b/Source/Core/Gateway/ServerHealth.cpp
@@ -19,7 +19,7 @@
 constexpr double EJECT_AT_SHARE = 0.35;
 /// Durations of the first and of the longest ejection.
 constexpr Common::Milliseconds FIRST_EJECTION{700};
-constexpr Common::Milliseconds LONGEST_EJECTION{5000};
+constexpr Common::Milliseconds MAX_EJECTION{5000};
 constexpr int MAX_DOUBLINGS = 4;
 } // namespace
 
@@ -51,7 +51,7 @@
   if (IsEjected(now) || !Common::IsOn(Common::Mechanism::Ejection))
     return;
   const int doublings = std::min(m_ejections, MAX_DOUBLINGS);
-  const auto span = std::min(FIRST_EJECTION * (1 << doublings), LONGEST_EJECTION);
+  const auto span = std::min(FIRST_EJECTION * (1 << doublings), MAX_EJECTION);
   ++m_ejections;
   m_ejected_until = now + span;
 }
--- a/Source/Core/Gateway/ServerSignals.cpp
+++ b/Source/Core/Gateway/ServerSignals.cpp
@@ -38,12 +38,12 @@
   if (const auto seconds = Common::ParseDecimal(value))
   {
     const std::chrono::duration<double> span(*seconds);
-    return span < LONGEST_BACKOFF ? std::chrono::ceil<Milliseconds>(span) : LONGEST_BACKOFF;
+    return span < MAX_BACKOFF ? std::chrono::ceil<Milliseconds>(span) : MAX_BACKOFF;
   }
   const auto date = Http::ParseHttpDate(value);
   if (!date)
     return std::nullopt;
-  return std::clamp(std::chrono::ceil<Milliseconds>(*date - now), Milliseconds(0), LONGEST_BACKOFF);
+  return std::clamp(std::chrono::ceil<Milliseconds>(*date - now), Milliseconds(0), MAX_BACKOFF);
 }
 
 bool IsRejectionForLoad(int status)
--- a/Source/Core/Gateway/ServerSignals.h
+++ b/Source/Core/Gateway/ServerSignals.h
@@ -38,7 +38,7 @@
 };
 
 /// Upper bound for a server's Retry-After; longer values are clamped.
-constexpr Common::Milliseconds LONGEST_BACKOFF = std::chrono::hours(24);
+constexpr Common::Milliseconds MAX_BACKOFF = std::chrono::hours(24);
 
 /// Parses the signals in the response headers. If a header occurs more than once, the strictest
 /// value applies: draining, the longest time, the lowest limit. Retry-After may be a number of
--- a/Source/Core/Gateway/SilenceDetector.cpp
+++ b/Source/Core/Gateway/SilenceDetector.cpp
@@ -20,9 +20,9 @@
 constexpr double DEVIATION_WEIGHT = 0.25;
 constexpr double DEVIATIONS = 4;
 /// Processing a long prompt takes several hundred ms, during which a healthy server sends nothing.
-constexpr Milliseconds SHORTEST_LIMIT{300};
+constexpr Milliseconds MIN_LIMIT{300};
 /// A server with longer pauses cannot meet any request's deadline.
-constexpr Milliseconds LONGEST_LIMIT{1500};
+constexpr Milliseconds MAX_LIMIT{1500};
 /// Number of requests without a response before a server is considered silent. With one, plain
 /// servers were ejected about once a second for requests that they leave unanswered.
 constexpr int MIN_UNANSWERED_REQUESTS = 2;
@@ -70,6 +70,6 @@
 Milliseconds SilenceDetector::Limit() const
 {
   const auto usual = Milliseconds(std::llround(m_mean_ms + DEVIATIONS * m_deviation_ms));
-  return std::clamp(usual, SHORTEST_LIMIT, LONGEST_LIMIT);
+  return std::clamp(usual, MIN_LIMIT, MAX_LIMIT);
 }
 } // namespace Gateway
--- a/Source/UnitTests/Gateway/ServerRestartTest.cpp
+++ b/Source/UnitTests/Gateway/ServerRestartTest.cpp
@@ -111,7 +111,7 @@
     discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
     discovery.NoteStoreLost();
     discovery.NoteStoreRestored(Common::Now());
-    discovery.ApplyUnreadable(InstanceId("i-1"));
+    discovery.ApplyMalformed(InstanceId("i-1"));
     CPPUNIT_ASSERT(directory.Empty());
   }
 };
--- a/Source/UnitTests/Gateway/ServerSignalsTest.cpp
+++ b/Source/UnitTests/Gateway/ServerSignalsTest.cpp
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(Backoff("0.0001") == Milliseconds(1));
     CPPUNIT_ASSERT(Backoff("0") == Milliseconds(0));
     CPPUNIT_ASSERT(Backoff("3600") == std::chrono::hours(1));
-    CPPUNIT_ASSERT(Backoff("99999999999999999999") == LONGEST_BACKOFF);
+    CPPUNIT_ASSERT(Backoff("99999999999999999999") == MAX_BACKOFF);
     CPPUNIT_ASSERT(Backoff("Sat, 03 Oct 2026 08:32:07 GMT") == Milliseconds(7000));
     CPPUNIT_ASSERT(Backoff("Sat, 03 Oct 2026 08:31:00 GMT") == Milliseconds(0));
     for (const char* value : {"", "-3", "soon", "1e3", "3 s", "nan"})
