--- a/Source/Core/Crashes/CrashLedger.cpp
+++ b/Source/Core/Crashes/CrashLedger.cpp
@@ -216,7 +216,8 @@
   return std::min(before_last_block, CrashesToBlock(entry) - 1) + since;
 }
 
-/// True if the block came from a daemon that did not know of the request's successful completion.
+/// True if the request's successful completion invalidates its first block, which was set by a
+/// daemon that was unaware of the completion.
 bool CrashLedger::IsBlockOverruled(const Case& entry)
 {
   return entry.last_success && entry.blocks <= 1 &&
