--- a/Source/Core/Crashes/RecentSuccesses.h
+++ b/Source/Core/Crashes/RecentSuccesses.h
@@ -16,12 +16,12 @@
 namespace Crashes
 {
 /// Records when requests last completed successfully. This separates identical requests of many
-/// callers, which are in progress on many servers when these exit, from a request that crashes
+/// callers, which are in progress on many servers when these crash, from a request that crashes
 /// every server and never completes.
 class RecentSuccesses
 {
 public:
-  static constexpr Common::Milliseconds MEMORY{std::chrono::minutes(10)};
+  static constexpr Common::Milliseconds RETENTION{std::chrono::minutes(10)};
   /// Maximum number of entries, about 5 MB, or nine minutes at 120 requests per second. Beyond it,
   /// the oldest are evicted.
   static constexpr std::size_t MAX_KEPT = 65536;
--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -48,11 +48,11 @@
   m_limited.OnChange([this] {
     OnLimitChange();
   });
-  m_crash_detector.OnEnded(
+  m_crash_detector.OnCrashed(
       [this](const InstanceId& instance, Common::TimePoint at, const auto& suspects) {
         OnServerCrashed(instance, at, suspects);
       });
-  m_crash_detector.OnSettled([this] {
+  m_crash_detector.OnCheckDone([this] {
     ScheduleDispatch();
   });
 }
@@ -235,7 +235,7 @@
         !relay.MaySendTo(instance))
       continue;
     const bool holds = model.Empty() || server->HoldsModel(model);
-    const bool must_wait = server->Limit() || server->GetBackoff().IsNamed(now);
+    const bool must_wait = server->Limit() || server->GetBackoff().IsRetryAfterActive(now);
     // A server that holds the model will get to the request, even if it has no free slot now.
     if (holds && !must_wait)
       return std::nullopt;
@@ -243,7 +243,7 @@
       slow_holders.push_back(server);
     if (holds || spec == nullptr)
       continue;
-    load.load_in_progress = load.load_in_progress || server->IsComing(model);
+    load.load_in_progress = load.load_in_progress || server->IsLoadingFromStore(model);
     const auto source = server->SourceOf(model);
     load.nearest = std::min(load.nearest.value_or(source), source);
     if (!must_wait)
@@ -268,15 +268,15 @@
 }
 
 void Dispatcher::OnServerCrashed(const InstanceId& instance, Common::TimePoint ended_at,
-                                 const std::vector<EndDetector::Suspect>& suspects)
-{
-  const Crashes::ServerLife life(instance.Started().Get() == 0
-                                     ? instance.Get()
-                                     : instance.Get() + "@" +
-                                           std::to_string(instance.Started().Get()));
-  for (const EndDetector::Suspect& suspect : suspects)
-    m_crashes.NoteEnding(suspect.request, life, m_settings.self, suspect.sent_at, ended_at,
-                         suspect.survived_at);
+                                 const std::vector<CrashDetector::Suspect>& suspects)
+{
+  const Crashes::ServerInstance life(instance.Started().Get() == 0
+                                         ? instance.Get()
+                                         : instance.Get() + "@" +
+                                               std::to_string(instance.Started().Get()));
+  for (const CrashDetector::Suspect& suspect : suspects)
+    m_crashes.RecordCrash(suspect.request, life, m_settings.self, suspect.sent_at, ended_at,
+                          suspect.last_success);
   EndBlockedRequests();
   if (m_on_demand)
     m_on_demand();
@@ -289,8 +289,8 @@
   for (const Crashes::CaseLine& line : cases)
   {
     m_crashes.Merge(line, now);
-    if (const auto survived_at = m_successes.LastOf(line.request.quick, now))
-      m_crashes.NoteEarlierSurvival(line.request, *survived_at, now);
+    if (const auto last_success = m_successes.LastOf(line.request.quick, now))
+      m_crashes.NoteEarlierSuccess(line.request, *last_success, now);
   }
   EndBlockedRequests();
   if (m_crashes.OwnRevision() != before && m_on_demand)
@@ -307,7 +307,7 @@
                        {{"fingerprint", request.ToString()},
                         {"for_ms", crash_case->blocked_for_ms},
                         {"blocks", crash_case->blocks},
-                        {"ended", Crashes::Describe(crash_case->endings)}});
+                        {"ended", Crashes::Describe(crash_case->server_crashes)}});
   if (blocked.empty())
     return;
   const auto relays = m_relays;
@@ -315,34 +315,37 @@
     relay->EndIfBlocked();
 }
 
-Crashes::Judgement Dispatcher::GetBlockStatus(Relay& relay) const
+Crashes::BlockStatus Dispatcher::GetBlockStatus(Relay& relay) const
 {
-  if (m_crashes.Empty() || !m_crashes.MayKnow(Crashes::QuickKeyOf(relay.Identity())))
+  if (m_crashes.Empty() || !m_crashes.MayContain(Crashes::QuickKeyOf(relay.Identity())))
     return {};
-  return m_crashes.Judge(relay.Fingerprint(), Common::Now());
+  return m_crashes.BlockStatusOf(relay.Fingerprint(), Common::Now());
 }
 
 bool Dispatcher::MustAwaitCrashCheck(Relay& relay) const
 {
-  return GetBlockStatus(relay).endings >= Crashes::CrashLedger::ENDINGS_TO_BLOCK - 1 &&
-         m_crash_detector.IsInDoubt(relay.Fingerprint());
+  return GetBlockStatus(relay).server_crashes >= Crashes::CrashLedger::CRASHES_TO_BLOCK - 1 &&
+         m_crash_detector.IsCheckPending(relay.Fingerprint());
 }
 
-void Dispatcher::NoteBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
-                            std::optional<Milliseconds> ran_for)
+void Dispatcher::NoteConnectionBroken(const ServerPtr& server, Relay& relay,
+                                      Common::TimePoint sent_at,
+                                      std::optional<Milliseconds> ran_for)
 {
-  const auto survived_at = m_successes.LastOf(Crashes::QuickKeyOf(relay.Identity()), Common::Now());
-  m_crash_detector.NoteBroken(server, {relay.Fingerprint(), sent_at, survived_at, ran_for});
+  const auto last_success =
+      m_successes.LastOf(Crashes::QuickKeyOf(relay.Identity()), Common::Now());
+  m_crash_detector.NoteConnectionBroken(server,
+                                        {relay.Fingerprint(), sent_at, last_success, ran_for});
 }
 
-void Dispatcher::NoteSurvival(Relay& relay)
+void Dispatcher::NoteRequestSuccess(Relay& relay)
 {
   const Crashes::QuickKey key = Crashes::QuickKeyOf(relay.Identity());
   m_successes.Note(key, Common::Now());
-  if (!m_crashes.MayKnow(key))
+  if (!m_crashes.MayContain(key))
     return;
   const std::uint64_t before = m_crashes.OwnRevision();
-  m_crashes.NoteSurvival(relay.Fingerprint(), Common::Now());
+  m_crashes.NoteRequestSuccess(relay.Fingerprint(), Common::Now());
   EndBlockedRequests();
   if (m_crashes.OwnRevision() != before && m_on_demand)
     m_on_demand();
@@ -530,7 +533,7 @@
   m_metrics.SetGauge("sent_to_draining", static_cast<double>(m_counters.sent_to_draining));
   m_metrics.SetGauge("sent_after_drain", static_cast<double>(m_counters.sent_after_drain));
   m_metrics.SetGauge("servers_backing_off", count_servers([&](const Server& server) {
-                       return server.GetBackoff().IsNamed(now);
+                       return server.GetBackoff().IsRetryAfterActive(now);
                      }));
   m_metrics.SetGauge("sent_in_backoff", static_cast<double>(m_counters.sent_in_backoff));
   m_metrics.SetGauge("withdrawn_for_backoff", static_cast<double>(m_counters.withdrawn));
--- a/Source/Core/Gateway/Dispatcher.h
+++ b/Source/Core/Gateway/Dispatcher.h
@@ -17,8 +17,8 @@
 #include "Crashes/CrashLedger.h"
 #include "Crashes/RecentSuccesses.h"
 #include "Decisions/Routing.h"
-#include "Gateway/DrainBook.h"
-#include "Gateway/EndDetector.h"
+#include "Gateway/CrashDetector.h"
+#include "Gateway/DrainRegistry.h"
 #include "Gateway/LimitedServers.h"
 #include "Gateway/Relay.h"
 #include "Gateway/RetryBudget.h"
@@ -104,7 +104,7 @@
   LimitedServers& Limited() { return m_limited; }
   const LimitedServers& Limited() const { return m_limited; }
   /// Servers that have announced that they drain, for the exchange with other daemons.
-  DrainBook& Draining() { return m_draining; }
+  DrainRegistry& Draining() { return m_draining; }
   /// Applies the draining servers that the lease holder of `tenure` has announced.
   void ApplyDrainUpdate(std::int64_t tenure, std::span<const RateLimits::ServerKey> servers);
   /// At the lease holder: applies the draining servers that another daemon has reported.
@@ -162,7 +162,7 @@
   /// that its model can be loaded meanwhile.
   void ExpectRetry(const Relay& relay, Common::Milliseconds span);
   void NoteArrival(const Relay& relay);
-  EndDetector& GetCrashDetector() { return m_crash_detector; }
+  CrashDetector& GetCrashDetector() { return m_crash_detector; }
   /// Applies the signals in the headers of a response to a request, an order or a report.
   void ApplySignals(const ServerPtr& server, const ServerSignals& signals,
                     const SignalOrigin& origin);
@@ -172,15 +172,15 @@
   /// Counts a request that is being sent to the server.
   void CountSend(const Server& server, Common::TimePoint now);
   /// Records that the connection broke while the server had the request.
-  void NoteBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
-                  std::optional<Common::Milliseconds> ran_for);
+  void NoteConnectionBroken(const ServerPtr& server, Relay& relay, Common::TimePoint sent_at,
+                            std::optional<Common::Milliseconds> ran_for);
   /// Whether the request is blocked because servers that ran it have crashed.
-  Crashes::Judgement GetBlockStatus(Relay& relay) const;
+  Crashes::BlockStatus GetBlockStatus(Relay& relay) const;
   /// True while the request is one crash short of being blocked, and it is not yet known whether a
   /// server that just broke its connection has crashed.
   bool MustAwaitCrashCheck(Relay& relay) const;
   /// Records that a server has completed the request successfully.
-  void NoteSurvival(Relay& relay);
+  void NoteRequestSuccess(Relay& relay);
   /// Schedules one pass over the waiting requests from the main loop; repeated calls are merged.
   void ScheduleDispatch();
   void ReportDemand();
@@ -191,7 +191,7 @@
 private:
   void DispatchWaiting();
   void OnServerCrashed(const InstanceId& instance, Common::TimePoint ended_at,
-                       const std::vector<EndDetector::Suspect>& suspects);
+                       const std::vector<CrashDetector::Suspect>& suspects);
   /// Ends the open requests that have become blocked.
   void EndBlockedRequests();
   /// Updates the gauges of requested and refused units by account.
@@ -255,9 +255,9 @@
   Accounts::LocalAllowances m_allowances;
   Crashes::CrashLedger m_crashes;
   Crashes::RecentSuccesses m_successes;
-  EndDetector m_crash_detector{m_servers};
+  CrashDetector m_crash_detector{m_servers};
   LimitedServers m_limited{m_servers};
-  DrainBook m_draining;
+  DrainRegistry m_draining;
   std::set<ServerPtr> m_new_backoffs;    ///< Servers with a new Retry-After, not yet handled.
   std::uint64_t m_draining_revision = 0; ///< Of the directory when m_draining was last applied.
   Decisions::AffinityRouting m_routing;
--- a/Source/Core/Gateway/ServerDirectory.h
+++ b/Source/Core/Gateway/ServerDirectory.h
@@ -35,7 +35,7 @@
   /// Maximum idle connections kept open per server.
   static constexpr std::size_t MAX_IDLE_CONNECTIONS = 24;
 
-  /// `condition` carries over what was observed of this incarnation before its entry was removed.
+  /// `condition` carries over what was observed of this instance before its entry was removed.
   explicit Server(ServerEntry entry,
                   std::shared_ptr<ServerCondition> condition = std::make_shared<ServerCondition>());
   Server(const Server&) = delete;
@@ -67,40 +67,40 @@
   void NoteMissing(const Artifact& artifact, Common::TimePoint now);
   /// Applies the order holder's information, which is more recent than the entry: the loaded
   /// adapters, the models about to be unloaded, and those being loaded from the weight store.
-  void SetPlacement(std::set<Artifact> adapters, std::set<ModelId> leaving,
-                    std::set<ModelId> coming);
+  void SetPlacement(std::set<Artifact> adapters, std::set<ModelId> unloading,
+                    std::set<ModelId> loading_from_store);
   /// True while the server loads the model from the weight store.
-  bool IsComing(const ModelId& model) const
+  bool IsLoadingFromStore(const ModelId& model) const
   {
-    return m_placement && m_placement->coming.contains(model);
+    return m_placement && m_placement->loading_from_store.contains(model);
   }
   /// Where the server would load the model's weights from.
   Decisions::WeightSource SourceOf(const ModelId& model) const;
   /// Falls back to the entry alone, because the order holder does not respond.
-  void ForgetPlacement() { m_placement.reset(); }
+  void ClearPlacement() { m_placement.reset(); }
   void NoteReplaced() { m_condition->replaced = true; }
   bool IsReplaced() const { return m_condition->replaced; }
 
   /// Returns an idle connection or a new one; nullptr if no socket is available.
   std::shared_ptr<Http::OriginConnection> TakeConnection(Common::TimePoint now);
-  void KeepConnection(std::shared_ptr<Http::OriginConnection> connection);
+  void ReturnConnection(std::shared_ptr<Http::OriginConnection> connection);
 
   void NoteStart(const Artifact& artifact, Common::TimePoint now);
   /// Records the end of a request. If the server is silent when its last request ends, it is
   /// ejected, since the next request sent to it would be lost too.
   void NoteEnd(const Artifact& artifact, Common::TimePoint sent_at, Common::TimePoint now);
   /// Records that data was received from the server.
-  void NoteHeard(Common::TimePoint now) { m_silence.NoteHeard(now); }
+  void NoteReceived(Common::TimePoint now) { m_silence.NoteReceived(now); }
   const std::optional<ServerLimit>& Limit() const { return m_limit; }
   void SetLimit(const std::optional<ServerLimit>& limit) { m_limit = limit; }
   /// True if the server has had a limit for so long that its models should be loaded on other
   /// servers too. A brief limit does not change the placement.
-  bool HasSettledLimit(Common::TimePoint now) const;
-  /// Same as HasSettledLimit(), for a server that sent a Retry-After.
-  bool HasLongBackoff(Common::TimePoint now) const;
-  bool IsPlannedAround(Common::TimePoint now) const
+  bool HasLastingLimit(Common::TimePoint now) const;
+  /// Same as HasLastingLimit(), for a server that sent a Retry-After.
+  bool HasLastingBackoff(Common::TimePoint now) const;
+  bool IsThrottled(Common::TimePoint now) const
   {
-    return HasSettledLimit(now) || HasLongBackoff(now);
+    return HasLastingLimit(now) || HasLastingBackoff(now);
   }
   int InFlight() const { return m_in_flight; }
   const std::map<ModelId, int>& InFlightByModel() const { return m_in_flight_by_model; }
@@ -133,8 +133,8 @@
   struct Placement
   {
     std::set<Artifact> adapters;
-    std::set<ModelId> leaving;
-    std::set<ModelId> coming;
+    std::set<ModelId> unloading;
+    std::set<ModelId> loading_from_store;
   };
   std::optional<Placement> m_placement;
   std::map<Artifact, Common::TimePoint> m_missing_until;
@@ -145,15 +145,15 @@
 
 using ServerPtr = std::shared_ptr<Server>;
 
-/// All known backend servers, each in its latest incarnation.
+/// All known backend servers, each in its latest instance.
 class ServerDirectory
 {
 public:
   /// Sets the callback for any change that may allow a waiting request to proceed.
   void OnChange(std::function<void()> callback) { m_on_change = std::move(callback); }
 
-  /// Adds or updates a server. The entry of a later incarnation replaces the server and everything
-  /// recorded for it; an entry of an earlier incarnation is ignored.
+  /// Adds or updates a server. The entry of a later instance replaces the server and everything
+  /// recorded for it; an entry of an earlier instance is ignored.
   void Put(ServerEntry entry);
   /// Removes a server. Its condition is kept for a while, because the entry of a running server may
   /// expire and be written again.
@@ -161,7 +161,7 @@
   void SetDrainGrace(Common::Milliseconds grace);
 
   ServerPtr Find(const InstanceId& instance) const;
-  /// The latest incarnation under the id of `instance`; the start time of `instance` is ignored.
+  /// The latest instance under the id of `instance`; the start time of `instance` is ignored.
   ServerPtr FindLatest(const InstanceId& instance) const;
   const std::map<InstanceId, ServerPtr>& All() const { return m_servers; }
   ServerPtr FindByKey(RateLimits::ServerKey key) const;
@@ -171,20 +171,21 @@
   std::uint64_t Revision() const { return m_revision; }
 
 private:
-  struct KeptCondition
+  struct RetainedCondition
   {
     std::shared_ptr<ServerCondition> condition;
     Common::TimePoint removed_at;
   };
 
   void Add(ServerEntry entry);
-  /// Copies announcements of the previous incarnation to `server`, which may have sent them itself
+  /// Copies announcements of the previous instance to `server`, which may have sent them itself
   /// before its entry was received.
-  static void TakeOver(Server& server, const Server& before);
+  static void Inherit(Server& server, const Server& before);
   void DropOldConditions(Common::TimePoint now);
 
   std::map<InstanceId, ServerPtr> m_servers;
-  std::map<InstanceId, KeptCondition> m_removed; ///< Conditions of servers whose entry was removed.
+  std::map<InstanceId, RetainedCondition>
+      m_removed; ///< Conditions of servers whose entry was removed.
   Common::Milliseconds m_drain_grace{0};
   std::uint64_t m_revision = 1;
   std::function<void()> m_on_change;
--- a/Source/Core/Gateway/ServerSignals.cpp
+++ b/Source/Core/Gateway/ServerSignals.cpp
@@ -38,12 +38,12 @@
   if (const auto seconds = Common::ParseDecimal(value))
   {
     const std::chrono::duration<double> span(*seconds);
-    return span < LONGEST_BACKOFF ? std::chrono::ceil<Milliseconds>(span) : LONGEST_BACKOFF;
+    return span < MAX_BACKOFF ? std::chrono::ceil<Milliseconds>(span) : MAX_BACKOFF;
   }
   const auto date = Http::ParseHttpDate(value);
   if (!date)
     return std::nullopt;
-  return std::clamp(std::chrono::ceil<Milliseconds>(*date - now), Milliseconds(0), LONGEST_BACKOFF);
+  return std::clamp(std::chrono::ceil<Milliseconds>(*date - now), Milliseconds(0), MAX_BACKOFF);
 }
 
 bool IsRejectionForLoad(int status)
@@ -65,7 +65,7 @@
     const std::string_view text = Common::WithoutTrailingBlanks(value);
     signals.draining = signals.draining || text == DRAINING;
     if (text != DRAINING && text != NOT_DRAINING)
-      signals.unreadable.push_back({names.draining, value});
+      signals.invalid.push_back({names.draining, value});
   }
   if (IsRejectionForLoad(status))
     for (const std::string& value : ValuesOf(headers, names.retry_after))
@@ -74,7 +74,7 @@
       if (span)
         signals.backoff = std::max(signals.backoff.value_or(*span), *span);
       else
-        signals.unreadable.push_back({names.retry_after, value});
+        signals.invalid.push_back({names.retry_after, value});
     }
   const auto limits = ValuesOf(headers, names.request_limit);
   const std::vector<std::string_view> limit_values(limits.begin(), limits.end());
--- a/Source/UnitTests/Gateway/ServerLivesTest.cpp
+++ b/Source/UnitTests/Gateway/ServerRestartTest.cpp
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // A backend server may restart under the same id within one heartbeat, so that its entry never
-// expires. State of the previous incarnation must not be applied to the new one. Incarnations are
+// expires. State of the previous instance must not be applied to the new one. Instances are
 // ordered by their start times, because their entries may arrive in any order.
 
 #include <string>
@@ -11,14 +11,14 @@
 
 #include "Common/Loop.h"
 #include "Gateway/ServerDirectory.h"
-#include "Gateway/ServerRoster.h"
+#include "Gateway/ServerDiscovery.h"
 #include "platform/Decode.h"
 
 namespace
 {
 using namespace Gateway;
 
-/// The entry of server i-1 in the incarnation that started at `born`.
+/// The entry of the instance of server i-1 that started at `born`.
 ServerEntry EntryOf(std::int64_t born, const std::string& models)
 {
   const auto entry = PlatformFace::DecodeServerEntry(
@@ -32,14 +32,14 @@
 constexpr const char* HOLDS_M = R"({"name":"m","version":1,"adapters":[]})";
 const Artifact MODEL{ModelId("m"), AdapterId()};
 
-class ServerLivesTest : public CppUnit::TestFixture
+class ServerRestartTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(ServerLivesTest);
-  CPPUNIT_TEST(ANewStartVoidsWhatWasBelieved);
-  CPPUNIT_TEST(AnEntryOfTheLifeBeforeChangesNothing);
-  CPPUNIT_TEST(TwoRestartsBetweenTwoLooks);
-  CPPUNIT_TEST(TheServerOfARequestIsGoneWithItsLife);
-  CPPUNIT_TEST(AnEntryThatCannotBeReadNamesNoServer);
+  CPPUNIT_TEST_SUITE(ServerRestartTest);
+  CPPUNIT_TEST(RestartDiscardsTheStateOfThePreviousInstance);
+  CPPUNIT_TEST(EntryOfThePreviousInstanceIsIgnored);
+  CPPUNIT_TEST(EntriesOfTwoRestartsArriveOutOfOrder);
+  CPPUNIT_TEST(ServerIsNotFoundAfterItsRestart);
+  CPPUNIT_TEST(MalformedEntryRemovesTheServer);
   CPPUNIT_TEST_SUITE_END();
 
   static const Server& TheServer(const ServerDirectory& directory)
@@ -48,11 +48,11 @@
     return *directory.All().begin()->second;
   }
 
-  void ANewStartVoidsWhatWasBelieved()
+  void RestartDiscardsTheStateOfThePreviousInstance()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(1000, HOLDS_M));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
     const ServerPtr before = directory.All().begin()->second;
     const auto now = Common::Now();
     before->NoteStart(MODEL, now);
@@ -62,7 +62,7 @@
     before->Health().NoteUnreachable(now);
     const std::uint64_t revision = directory.Revision();
 
-    roster.ApplyEntry(EntryOf(2000, HOLDS_M));
+    discovery.ApplyEntry(EntryOf(2000, HOLDS_M));
     const Server& after = TheServer(directory);
     CPPUNIT_ASSERT(after.IsAvailable(now));
     CPPUNIT_ASSERT(after.Holds(MODEL, now));
@@ -70,51 +70,51 @@
     CPPUNIT_ASSERT(directory.Revision() > revision);
   }
 
-  void AnEntryOfTheLifeBeforeChangesNothing()
+  void EntryOfThePreviousInstanceIsIgnored()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(2000, ""));
-    roster.ApplyEntry(EntryOf(1000, HOLDS_M));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(2000, ""));
+    discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
     CPPUNIT_ASSERT(!TheServer(directory).HoldsModel(ModelId("m")));
   }
 
-  void TwoRestartsBetweenTwoLooks()
+  void EntriesOfTwoRestartsArriveOutOfOrder()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(1000, ""));
-    roster.ApplyEntry(EntryOf(3000, HOLDS_M));
-    roster.ApplyEntry(EntryOf(2000, ""));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(1000, ""));
+    discovery.ApplyEntry(EntryOf(3000, HOLDS_M));
+    discovery.ApplyEntry(EntryOf(2000, ""));
     CPPUNIT_ASSERT(TheServer(directory).HoldsModel(ModelId("m")));
-    roster.ApplyRemoval(InstanceId("i-1"), Common::Now());
+    discovery.ApplyRemoval(InstanceId("i-1"), Common::Now());
     CPPUNIT_ASSERT(directory.Empty());
   }
 
-  /// A stream counts as lost as soon as its server's incarnation has ended.
-  void TheServerOfARequestIsGoneWithItsLife()
+  /// A stream counts as lost as soon as its server has restarted.
+  void ServerIsNotFoundAfterItsRestart()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(1000, HOLDS_M));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
     const InstanceId asked = directory.All().begin()->first;
-    roster.ApplyEntry(EntryOf(2000, HOLDS_M));
+    discovery.ApplyEntry(EntryOf(2000, HOLDS_M));
     CPPUNIT_ASSERT(directory.Find(asked) == nullptr);
   }
 
   /// A changed entry that was malformed used to leave the previous one in use. The server must also
   /// be removed right after a store outage, when removals of entries are otherwise delayed.
-  void AnEntryThatCannotBeReadNamesNoServer()
+  void MalformedEntryRemovesTheServer()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(EntryOf(1000, HOLDS_M));
-    roster.NoteSourceLost();
-    roster.NoteSourceBack(Common::Now());
-    roster.ApplyUnreadable(InstanceId("i-1"));
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(EntryOf(1000, HOLDS_M));
+    discovery.NoteStoreLost();
+    discovery.NoteStoreRestored(Common::Now());
+    discovery.ApplyMalformed(InstanceId("i-1"));
     CPPUNIT_ASSERT(directory.Empty());
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(ServerLivesTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(ServerRestartTest);
 } // namespace
