--- a/Models/OrderLease.pml
+++ b/Models/OrderLease.pml
@@ -1,7 +1,7 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * The lease of the daemon that orders backend servers (Source/Core/Orders/LeaseKeeper.h). Two daemons; time
+ * The lease of the daemon that orders backend servers (Source/Core/Orders/LeaseManager.h). Two daemons; time
  * passes in ticks at any point, so a daemon may be frozen between any two of its steps. A write to the
  * store may be answered late, or its answer lost. Claimed: the server never takes orders of two daemons
  * within PAUSE ticks, and fences never go down.
--- a/Models/ServerLife.pml
+++ b/Models/ServerLife.pml
@@ -2,7 +2,7 @@
  * SPDX-License-Identifier: Apache-2.0
  *
  * Orders to a backend server that starts again under its id. Stands for
- * Source/Core/Orders/OrderDesk.cpp.
+ * Source/Core/Orders/OrderManager.cpp.
  *
  * The server has two places. It carries out a load or an unload whose expected sequence is its own,
  * then counts one more. Orders may go unanswered and be carried out any time later, also in the
--- a/Source/Benchmarks/PlanBenchmark.cpp
+++ b/Source/Benchmarks/PlanBenchmark.cpp
@@ -6,7 +6,7 @@
 #include <benchmark/benchmark.h>
 #include <pcg_random.hpp>
 
-#include "Orders/PlanBook.h"
+#include "Orders/PlanInputBuilder.h"
 #include "UnitTests/Decisions/RandomFleet.h"
 #include "UnitTests/Decisions/ReferencePlan.h"
 
@@ -43,15 +43,15 @@
       engine.models[ModelName(i)] = {
           ModelName(i), 72700, Milliseconds(13200), Milliseconds(640), Milliseconds(470), 0, 66};
     pool.engine = engine;
-    m_book.Configure(pool);
+    m_builder.Configure(pool);
     std::vector<Gateway::ServerPtr> all;
     for (std::size_t i = 0; i < servers; ++i)
       all.push_back(std::make_shared<Gateway::Server>(SomeEntry(i)));
-    m_book.SetServers(all, m_flights);
+    m_builder.SetServers(all, m_in_flight_totals);
     for (std::size_t i = 0; i < servers; ++i)
     {
-      m_book.SetHeld(ServerIndex(i), HeldBy(*all[i]));
-      m_book.SetState(ServerIndex(i), {});
+      m_builder.SetHeld(ServerIndex(i), HeldBy(*all[i]));
+      m_builder.SetState(ServerIndex(i), {});
     }
     for (int daemon = 0; daemon < DAEMONS; ++daemon)
       Report(daemon);
@@ -62,9 +62,9 @@
   {
     for (int i = 0; i < REPORTS_A_PLAN; ++i)
       Report(m_next++ % DAEMONS);
-    const auto changed = static_cast<ServerIndex>(m_next % m_book.Servers().size());
-    m_book.SetHeld(changed, HeldBy(*m_book.ServerAt(changed)));
-    return Decisions::PlanReplicas(m_book.Input(Common::Now(), 2)).orders.size();
+    const auto changed = static_cast<ServerIndex>(m_next % m_builder.Servers().size());
+    m_builder.SetHeld(changed, HeldBy(*m_builder.ServerAt(changed)));
+    return Decisions::PlanReplicas(m_builder.Input(Common::Now(), 2)).orders.size();
   }
 
 private:
@@ -95,16 +95,17 @@
     std::vector<DemandLine> demand;
     for (std::size_t i = 0; i < m_waiting / DAEMONS + 1; ++i)
       demand.push_back({Gateway::PoolId("p"), {AnyModel(), {}}, 1, 2, 400, 1});
-    m_book.TakeDemand(vm, demand, Common::Now());
-    const auto& server = m_book.ServerAt(ServerIndex(m_random() % m_book.Servers().size()));
-    m_flights.Take(vm, {{server->Entry().instance, 1, {{server->Entry().models[0].model, 1}}}});
+    m_builder.ApplyDemand(vm, demand, Common::Now());
+    const auto& server = m_builder.ServerAt(ServerIndex(m_random() % m_builder.Servers().size()));
+    m_in_flight_totals.UpdateDaemon(
+        vm, {{server->Entry().instance, 1, {{server->Entry().models[0].model, 1}}}});
   }
 
   std::size_t m_models;
   std::size_t m_waiting;
   pcg64 m_random{1};
-  FlightBook m_flights;
-  PlanBook m_book;
+  InFlightTotals m_in_flight_totals;
+  PlanInputBuilder m_builder;
   int m_next = 0;
 };
 
--- a/Source/Core/Orders/Coordination.h
+++ b/Source/Core/Orders/Coordination.h
@@ -17,8 +17,8 @@
 #include "Gateway/Dispatcher.h"
 #include "Orders/CrashArchive.h"
 #include "Orders/Hub.h"
-#include "Orders/LeaseKeeper.h"
-#include "Orders/OrderDesk.h"
+#include "Orders/LeaseManager.h"
+#include "Orders/OrderManager.h"
 #include "Orders/TableFollower.h"
 
 namespace Orders
@@ -65,10 +65,10 @@
                Follower& lease_table)
       : m_vm(settings.vm),
         m_run(Common::NewId("run-")),
-        m_desk(dispatcher.Servers(), std::move(channel), {settings.load_window_s}),
+        m_order_manager(dispatcher.Servers(), std::move(channel), {settings.load_window_s}),
         m_hub({settings.vm, m_run, settings.local,
                LeaseHandicap(settings.cores, settings.link_mbps), settings.link_mbps},
-              dispatcher, m_desk),
+              dispatcher, m_order_manager),
         m_lease(store, {settings.vm, m_run, settings.local.ToString(), LEASE_DURATION,
                         settings.holder_pause + PAUSE_MARGIN,
                         LeaseHandicap(settings.cores, settings.link_mbps)}),
@@ -83,13 +83,13 @@
     m_hub.SetTables(std::move(tables));
     m_hub.OnLeaseWord(
         [this](const LeaseWord& word, const Common::VmId& holder, const Http::Endpoint& from) {
-          m_lease.OnHolderWord(word.version, {holder, {}, from.ToString()}, word.left);
+          m_lease.OnHolderAnnouncement(word.version, {holder, {}, from.ToString()}, word.left);
           Follow();
         });
-    m_desk.SetPermission([this] {
+    m_order_manager.SetPermission([this] {
       return Permit(Common::Now());
     });
-    m_desk.OnPlacementChange([this] {
+    m_order_manager.OnPlacementChange([this] {
       m_hub.AnnounceSoon();
     });
     dispatcher.OnDemand([this] {
@@ -107,7 +107,7 @@
 
   void SetConfiguration(std::shared_ptr<const Gateway::Configuration> configuration)
   {
-    m_desk.SetConfiguration(std::move(configuration));
+    m_order_manager.SetConfiguration(std::move(configuration));
   }
   void OnLeaseRow(std::int64_t version, std::optional<LeaseRecord> record)
   {
@@ -137,7 +137,7 @@
     const auto& permits = m_hub.Permits().Granted();
     metrics.SetGauge("permits_handed_out", static_cast<double>(permits.granted));
     metrics.SetGauge("permits_handed_back", static_cast<double>(permits.unused));
-    for (const auto& [name, count] : m_desk.Counters())
+    for (const auto& [name, count] : m_order_manager.Counters())
       metrics.SetGauge("orders_" + name, static_cast<double>(count));
   }
   /// Called when this daemon's copy of a shared table changes; the lease holder announces the
@@ -225,7 +225,7 @@
   std::optional<OrderPermit> Permit(Common::TimePoint now) const
   {
     const auto view_left = MAX_AGE_FOR_ORDERS - OldestAnswer(now);
-    if (!m_lease.MayOrder(now) || view_left < Common::Milliseconds(0))
+    if (!m_lease.MaySendOrders(now) || view_left < Common::Milliseconds(0))
       return std::nullopt;
     return OrderPermit{m_lease.Fence(), std::min(m_lease.OrdersUntil(), now + view_left)};
   }
@@ -253,7 +253,7 @@
     const auto now = Common::Now();
     const bool holds = m_lease.Holds(now);
     if (holds)
-      m_desk.Plan(now);
+      m_order_manager.Plan(now);
     m_archive.Tick(RoleAtArchive(holds), now);
     m_timer.Start(holds ? TICK : IDLE_TICK, [this] {
       Tick();
@@ -265,7 +265,7 @@
     if (holds)
       return ArchiveRole::Holder;
     const bool is_orphan = !m_hub.HearsHolder() && !m_store_lost && m_lease_table.HasSnapshot();
-    return is_orphan ? ArchiveRole::Orphan : ArchiveRole::Reader;
+    return is_orphan ? ArchiveRole::WithoutHolder : ArchiveRole::Reader;
   }
 
   /// Updates the hub and the order desk after a possible change of the lease holder.
@@ -274,11 +274,11 @@
     const bool holds = !m_stopped && m_lease.Holds(Common::Now());
     if (holds && !m_held)
     {
-      m_desk.Forget();
+      m_order_manager.Reset();
       m_held_since = Common::Now();
     }
     if (!holds && m_held)
-      m_desk.Abandon();
+      m_order_manager.CancelPending();
     m_held = holds;
     if (holds)
     {
@@ -295,9 +295,9 @@
 
   Common::VmId m_vm;
   Common::Incarnation m_run;
-  OrderDesk m_desk;
+  OrderManager m_order_manager;
   Hub m_hub;
-  LeaseKeeper<Store> m_lease;
+  LeaseManager<Store> m_lease;
   CrashArchive m_archive;
   bool m_store_lost = false;
   Follower& m_lease_table;
--- a/Source/Core/Orders/CrashArchive.cpp
+++ b/Source/Core/Orders/CrashArchive.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t MAX_ROW_BYTES = 48000;
 /// Initial delay after a write that failed or conflicted; doubles with each failure. Jitter is
 /// added, since all daemons that had requests at a server may write at the same time.
-constexpr std::int64_t FIRST_PAUSE_MS = 150;
+constexpr std::int64_t FIRST_RETRY_DELAY_MS = 150;
 constexpr int MAX_DOUBLINGS = 4;
 
 /// Wall-clock time, the only clock shared by all writers and readers of the row. An error of a few
@@ -33,7 +33,7 @@
   return std::chrono::floor<Milliseconds>(now).count();
 }
 
-void MakeOlder(Crashes::CaseLine& line, std::int64_t by_ms)
+void AddAge(Crashes::CaseLine& line, std::int64_t by_ms)
 {
   for (Crashes::EndingLine& ending : line.endings)
   {
@@ -61,33 +61,33 @@
   const std::int64_t age = std::max<std::int64_t>(UnixMs() - archived->written_at, 0);
   m_row = std::move(archived->cases);
   for (Crashes::CaseLine& line : m_row)
-    MakeOlder(line, age);
+    AddAge(line, age);
   m_dispatcher.TakeCrashCases(m_row);
 }
 
-CrashArchive::Essence CrashArchive::EssenceOf(const std::vector<Crashes::CaseLine>& cases,
-                                              ArchiveRole role)
+CrashArchive::CaseKeys CrashArchive::CaseKeysOf(const std::vector<Crashes::CaseLine>& cases,
+                                                ArchiveRole role)
 {
-  Essence essence;
+  CaseKeys keys;
   for (const Crashes::CaseLine& line : cases)
-    if (role == ArchiveRole::Orphan)
-      essence.emplace(line.request, line.blocks, line.endings.size());
+    if (role == ArchiveRole::WithoutHolder)
+      keys.emplace(line.request, line.blocks, line.endings.size());
     else if (line.blocked_for_ms > 0)
-      essence.emplace(line.request, line.blocks, 0);
-  return essence;
+      keys.emplace(line.request, line.blocks, 0);
+  return keys;
 }
 
 void CrashArchive::Tick(ArchiveRole role, Common::TimePoint now)
 {
   const Crashes::CrashLedger& ledger = m_dispatcher.CrashCases();
-  const bool is_new = ledger.Revision() != m_seen_revision || role != m_seen_as;
-  if (role == ArchiveRole::Reader || m_calling || now < m_not_before || !is_new)
+  const bool is_new = ledger.Revision() != m_compared_revision || role != m_compared_role;
+  if (role == ArchiveRole::Reader || m_call_pending || now < m_next_write_at || !is_new)
     return;
-  const std::size_t least_endings = role == ArchiveRole::Orphan ? 1 : 2;
+  const std::size_t least_endings = role == ArchiveRole::WithoutHolder ? 1 : 2;
   std::vector<Crashes::CaseLine> cases = ledger.Worst(least_endings, now);
-  m_seen_revision = ledger.Revision();
-  m_seen_as = role;
-  if (EssenceOf(cases, role) != EssenceOf(m_row, role))
+  m_compared_revision = ledger.Revision();
+  m_compared_role = role;
+  if (CaseKeysOf(cases, role) != CaseKeysOf(m_row, role))
     Write(std::move(cases));
 }
 
@@ -101,46 +101,46 @@
     archived.cases.resize(archived.cases.size() / 2);
     value = Daemons::Encode(archived);
   }
-  m_on_its_way = std::move(archived.cases);
-  m_calling = true;
+  m_pending_cases = std::move(archived.cases);
+  m_call_pending = true;
   m_access.replace(m_version, value, [this](Common::Result<std::int64_t> version) {
-    m_calling = false;
-    TakeResult(std::move(version));
+    m_call_pending = false;
+    OnWriteResult(std::move(version));
   });
 }
 
-void CrashArchive::TakeResult(Common::Result<std::int64_t> version)
+void CrashArchive::OnWriteResult(Common::Result<std::int64_t> version)
 {
   if (version)
   {
     m_failures = 0;
     m_version = std::max(m_version, *version);
-    m_row = std::move(m_on_its_way);
+    m_row = std::move(m_pending_cases);
     Common::LogEvent(Common::LogLevel::Info, "crash-row-written",
                      {{"version", *version}, {"cases", m_row.size()}});
     return;
   }
   Common::LogEvent(Common::LogLevel::Warning, "crash-row-write-failed",
                    {{"reason", Common::ToString(version.Reason().kind)}});
-  m_seen_revision = 0;
-  Pause();
+  m_compared_revision = 0;
+  DelayNextWrite();
   if (version.Reason().kind == Common::FailureKind::Conflict)
-    ReadAgain();
+    RereadRow();
 }
 
-void CrashArchive::Pause()
+void CrashArchive::DelayNextWrite()
 {
-  const std::int64_t pause = FIRST_PAUSE_MS << std::min(m_failures++, MAX_DOUBLINGS);
-  const auto spread =
-      static_cast<std::int64_t>(Common::SharedRandom()() % static_cast<std::uint64_t>(pause));
-  m_not_before = Common::Now() + Milliseconds(pause + spread);
+  const std::int64_t delay = FIRST_RETRY_DELAY_MS << std::min(m_failures++, MAX_DOUBLINGS);
+  const auto jitter =
+      static_cast<std::int64_t>(Common::SharedRandom()() % static_cast<std::uint64_t>(delay));
+  m_next_write_at = Common::Now() + Milliseconds(delay + jitter);
 }
 
-void CrashArchive::ReadAgain()
+void CrashArchive::RereadRow()
 {
-  m_calling = true;
+  m_call_pending = true;
   m_access.read([this](Common::Result<ArchiveRow> row) {
-    m_calling = false;
+    m_call_pending = false;
     if (row)
       OnRow(*row);
     else
--- a/Source/Core/Orders/CrashArchive.h
+++ b/Source/Core/Orders/CrashArchive.h
@@ -56,8 +56,8 @@
   Reader,
   Holder, ///< Writes the row only when blocked requests change, to keep the number of writes low.
   /// No lease holder is reachable: daemons exchange their observations through the row, so that
-  /// server endings observed by different daemons still add up.
-  Orphan,
+  /// server crashes observed by different daemons still add up.
+  WithoutHolder,
 };
 
 /// Persists the requests that crash backend servers in one row of the platform's store. The row
@@ -78,24 +78,24 @@
 
 private:
   /// The parts of a case whose change triggers a write: the request, how many times it was blocked
-  /// and, for an orphan, the number of server endings. For a holder only blocked cases count.
-  using Essence = std::set<std::tuple<Crashes::Fingerprint, std::int32_t, std::size_t>>;
+  /// and, without a holder, the number of server crashes. For a holder only blocked cases count.
+  using CaseKeys = std::set<std::tuple<Crashes::Fingerprint, std::int32_t, std::size_t>>;
 
-  static Essence EssenceOf(const std::vector<Crashes::CaseLine>& cases, ArchiveRole role);
+  static CaseKeys CaseKeysOf(const std::vector<Crashes::CaseLine>& cases, ArchiveRole role);
   void Write(std::vector<Crashes::CaseLine> cases);
-  void TakeResult(Common::Result<std::int64_t> version);
-  void ReadAgain();
-  void Pause();
+  void OnWriteResult(Common::Result<std::int64_t> version);
+  void RereadRow();
+  void DelayNextWrite();
 
   Gateway::Dispatcher& m_dispatcher;
   ArchiveAccess m_access;
   std::int64_t m_version = 0;
-  std::uint64_t m_seen_revision = 0; ///< Ledger revision at the last comparison with the row.
-  ArchiveRole m_seen_as = ArchiveRole::Reader;
+  std::uint64_t m_compared_revision = 0; ///< Ledger revision at the last comparison with the row.
+  ArchiveRole m_compared_role = ArchiveRole::Reader;
   std::vector<Crashes::CaseLine> m_row; ///< Cases of the row as last written or read.
-  std::vector<Crashes::CaseLine> m_on_its_way;
-  bool m_calling = false;
+  std::vector<Crashes::CaseLine> m_pending_cases;
+  bool m_call_pending = false;
   int m_failures = 0;
-  Common::TimePoint m_not_before;
+  Common::TimePoint m_next_write_at;
 };
 } // namespace Orders
--- a/Source/Core/Orders/Hub.cpp
+++ b/Source/Core/Orders/Hub.cpp
@@ -74,7 +74,7 @@
 /// interval.
 constexpr std::size_t REPORTS_REMEMBERED = 64;
 
-void SetPlacements(HolderReport& report, PlacementNews news)
+void SetPlacements(HolderReport& report, PlacementUpdate news)
 {
   report.placement_from = news.from;
   report.placement_to = news.to;
@@ -98,10 +98,10 @@
   return common.substr(0, common.size() - 1) + Daemons::Encode(std::vector<HolderReply>{reply});
 }
 
-Hub::Hub(HubSettings settings, Gateway::Dispatcher& dispatcher, OrderDesk& desk)
+Hub::Hub(HubSettings settings, Gateway::Dispatcher& dispatcher, OrderManager& order_manager)
     : m_settings(std::move(settings)),
       m_dispatcher(dispatcher),
-      m_desk(desk),
+      m_order_manager(order_manager),
       m_permits({m_settings.self, HashOf(m_settings.run)}, dispatcher,
                 [this](const Http::Endpoint& peer, const Envelope& envelope) {
                   SendTo(peer, Daemons::Encode(envelope));
@@ -266,8 +266,8 @@
   if (m_own_lease)
   {
     const auto now = Common::Now();
-    m_desk.TakeReport(report, now);
-    m_desk.PlanSoon();
+    m_order_manager.OnDaemonReport(report, now);
+    m_order_manager.SchedulePlan();
     m_allowances.TakeReport({m_settings.self, HashOf(m_settings.run), report.grants_fence},
                             report.allowances, now);
     AnnounceNow(true);
@@ -283,7 +283,7 @@
 
 void Hub::ShareBudget()
 {
-  const int daemons = m_daemons.ForSharing(Common::Now());
+  const int daemons = m_daemons.ForSharedLimits(Common::Now());
   m_dispatcher.Budget().SetDaemons(daemons);
   m_dispatcher.Allowances().SetDaemons(daemons);
   m_dispatcher.Limited().Permits().SetDaemons(daemons);
@@ -371,9 +371,9 @@
   });
   if (const auto* accounts = AccountsToDivide(now); accounts != nullptr && regular)
     m_allowances.Allocate(*accounts, now);
-  m_placements.Update(m_desk.Placements());
+  m_placements.Update(m_order_manager.Placements());
   m_crashes_announced = m_dispatcher.CrashCases().Revision();
-  m_daemons.Tell(static_cast<int>(m_peers.size()) + 1, now);
+  m_daemons.Update(static_cast<int>(m_peers.size()) + 1, now);
   HolderState state;
   state.vm = m_settings.self;
   state.lease_version = m_own_lease->version;
@@ -388,7 +388,7 @@
     state.draining = m_permits.DrainNews(now);
   state.regular = regular;
   if (regular)
-    for (const auto& [instance, load] : m_desk.Flights().All())
+    for (const auto& [instance, load] : m_order_manager.InFlightByServer().All())
       if (load.in_flight > 0)
         state.in_flight[HashOf(instance)] += load.in_flight;
   HolderReport report;
@@ -574,13 +574,13 @@
     m_dispatcher.TakeCrashCases(report.crashes);
     if (m_dispatcher.CrashCases().Revision() != m_crashes_announced)
       AnnounceSoon();
-    m_desk.TakeReport(report, now);
+    m_order_manager.OnDaemonReport(report, now);
     TakeAllowances(report, peer, now);
     const bool anyone_waits = std::ranges::any_of(report.demand, [](const DemandLine& line) {
       return line.waiting > 0;
     });
     if (anyone_waits)
-      m_desk.PlanSoon();
+      m_order_manager.SchedulePlan();
     if (is_new)
       AnnounceSoon();
   }
@@ -624,7 +624,7 @@
     return;
   }
   m_holder_heard_at = Common::Now();
-  m_daemons.Tell(state->daemons, m_holder_heard_at);
+  m_daemons.Update(state->daemons, m_holder_heard_at);
   m_dispatcher.Limited().Permits().NoteHolderHeard(m_holder_heard_at);
   for (const RateLimits::LimitNews& news : state->limits)
     m_permits.TakeNews(report.fence, news);
--- a/Source/Core/Orders/Hub.h
+++ b/Source/Core/Orders/Hub.h
@@ -16,7 +16,7 @@
 #include "Http/TcpStream.h"
 #include "Orders/DaemonCount.h"
 #include "Orders/Messages.h"
-#include "Orders/OrderDesk.h"
+#include "Orders/OrderManager.h"
 #include "Orders/PermitExchange.h"
 #include "Orders/PlacementLog.h"
 #include "Orders/SharedTables.h"
@@ -50,7 +50,7 @@
   using LeaseWordHandler =
       std::function<void(const LeaseWord&, const Common::VmId&, const Http::Endpoint&)>;
 
-  Hub(HubSettings settings, Gateway::Dispatcher& dispatcher, OrderDesk& desk);
+  Hub(HubSettings settings, Gateway::Dispatcher& dispatcher, OrderManager& order_manager);
   ~Hub() override;
   Hub(const Hub&) = delete;
   Hub& operator=(const Hub&) = delete;
@@ -159,7 +159,7 @@
 
   HubSettings m_settings;
   Gateway::Dispatcher& m_dispatcher;
-  OrderDesk& m_desk;
+  OrderManager& m_order_manager;
   int m_fd = -1;
   std::uint64_t m_watch = 0;
   std::optional<Http::Endpoint> m_holder;
--- a/Source/Core/Orders/FlightBook.cpp
+++ b/Source/Core/Orders/InFlightTotals.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Orders/FlightBook.h"
+#include "Orders/InFlightTotals.h"
 
 #include <algorithm>
 
@@ -13,20 +13,20 @@
   return found == by_model.end() ? 0 : found->count;
 }
 
-void FlightBook::Take(const Common::VmId& daemon, const std::vector<LoadLine>& loads)
+void InFlightTotals::UpdateDaemon(const Common::VmId& daemon, const std::vector<LoadLine>& loads)
 {
-  std::vector<LoadLine>& told = m_daemons[daemon];
-  for (const LoadLine& line : told)
+  std::vector<LoadLine>& previous = m_daemons[daemon];
+  for (const LoadLine& line : previous)
     Add(line, -1);
   for (const LoadLine& line : loads)
     Add(line, 1);
   if (loads.empty())
     m_daemons.erase(daemon);
   else
-    told = loads;
+    previous = loads;
 }
 
-void FlightBook::Add(const LoadLine& line, std::int32_t sign)
+void InFlightTotals::Add(const LoadLine& line, std::int32_t sign)
 {
   ServerLoad& load = m_servers[line.instance];
   load.in_flight += sign * line.in_flight;
--- a/Source/Core/Orders/FlightBook.h
+++ b/Source/Core/Orders/InFlightTotals.h
@@ -31,16 +31,16 @@
 /// Open requests of all daemons, summed per server. The sums are updated incrementally by the
 /// difference between a daemon's report and its previous one: with 300 daemons, recomputing them
 /// from all reports for each plan took a third of the planning time.
-class FlightBook
+class InFlightTotals
 {
 public:
   /// Replaces the loads that the daemon reported before.
-  void Take(const Common::VmId& daemon, const std::vector<LoadLine>& loads);
+  void UpdateDaemon(const Common::VmId& daemon, const std::vector<LoadLine>& loads);
   /// Removes the requests of a daemon that no longer reports.
-  void Drop(const Common::VmId& daemon) { Take(daemon, {}); }
+  void RemoveDaemon(const Common::VmId& daemon) { UpdateDaemon(daemon, {}); }
 
   /// The sums for one server. The reference stays valid for the lifetime of this object.
-  const ServerLoad& Of(const Gateway::InstanceId& instance) { return m_servers[instance]; }
+  const ServerLoad& ForServer(const Gateway::InstanceId& instance) { return m_servers[instance]; }
   const std::unordered_map<Gateway::InstanceId, ServerLoad>& All() const { return m_servers; }
 
 private:
--- a/Source/Core/Orders/LeaseKeeper.h
+++ b/Source/Core/Orders/LeaseManager.h
@@ -59,10 +59,10 @@
 };
 
 template <LeaseStore Store>
-class LeaseKeeper
+class LeaseManager
 {
 public:
-  LeaseKeeper(Store& store, LeaseSettings settings)
+  LeaseManager(Store& store, LeaseSettings settings)
       : m_store(store), m_settings(std::move(settings))
   {
   }
@@ -72,24 +72,25 @@
   /// Handles the row as read from the store; `version` is 0 if it is absent.
   void OnRow(std::int64_t version, std::optional<LeaseRecord> record)
   {
-    if (m_seen && version <= m_version)
+    if (m_row_known && version <= m_version)
       return;
-    m_seen = true;
+    m_row_known = true;
     m_version = version;
     m_record = std::move(record);
-    m_free_at = Common::Now() + m_settings.duration + TAKE_MARGIN;
+    m_free_at = Common::Now() + m_settings.duration + ACQUIRE_MARGIN;
     if (!m_writing)
-      DropIfNotOurs();
+      CheckOwnership();
   }
 
   /// Handles an announcement by the holder: the row has this version, and the holder stops acting
   /// after `left` unless it renews. A message can only be delayed, so `left` is an upper bound here
   /// too.
-  void OnHolderWord(std::int64_t version, const LeaseRecord& record, Common::Milliseconds left)
+  void OnHolderAnnouncement(std::int64_t version, const LeaseRecord& record,
+                            Common::Milliseconds left)
   {
-    if (!m_seen || version < m_version || m_fence || m_writing)
+    if (!m_row_known || version < m_version || m_fence || m_writing)
       return;
-    const auto free_at = Common::Now() + left + TAKE_MARGIN;
+    const auto free_at = Common::Now() + left + ACQUIRE_MARGIN;
     m_free_at = version > m_version ? free_at : std::min(m_free_at, free_at);
     m_version = version;
     m_record = record;
@@ -104,8 +105,8 @@
   void OnStoreBack()
   {
     m_store_lost = false;
-    m_reclaimed_until = Common::Now() + RECLAIM_TIME;
-    m_free_since.reset();
+    m_reserved_until = Common::Now() + RESERVATION_TIME;
+    m_acquire_at.reset();
     m_write_failures = 0;
     m_retry_at = {};
   }
@@ -115,7 +116,7 @@
   void Abdicate()
   {
     if (m_fence)
-      Lose("store unreachable");
+      OnLeaseLost("store unreachable");
   }
 
   std::int64_t RowVersion() const { return m_version; }
@@ -130,7 +131,7 @@
   bool Holds(Common::TimePoint now) const { return m_fence && now < m_valid_until - STOP_MARGIN; }
   /// Whether orders may be sent now. Must be checked right before each order, since the process may
   /// have been frozen.
-  bool MayOrder(Common::TimePoint now) const { return Holds(now) && now >= m_orders_from; }
+  bool MaySendOrders(Common::TimePoint now) const { return Holds(now) && now >= m_orders_from; }
   /// When this holder must stop sending orders unless it renews.
   Common::TimePoint OrdersUntil() const { return m_valid_until - STOP_MARGIN; }
   std::int64_t Fence() const { return m_fence.value_or(0); }
@@ -152,95 +153,97 @@
     m_fence.reset();
     // A pending write will change the row's version, so the lease is released after it completes.
     if (held && !m_writing)
-      GiveBack();
+      WriteRelease();
   }
 
 private:
   /// Interval at which the state of the lease is checked.
   static constexpr Common::Milliseconds TICK{200};
   /// Fraction of the duration after which the lease is renewed.
-  static constexpr double RENEW_AT = 0.4;
+  static constexpr double RENEW_FRACTION = 0.4;
   /// The holder stops this long before its lease expires, because orders take time to arrive.
   static constexpr Common::Milliseconds STOP_MARGIN{150};
   /// How much longer than the duration an observer waits before it treats the lease as free.
-  static constexpr Common::Milliseconds TAKE_MARGIN{250};
+  static constexpr Common::Milliseconds ACQUIRE_MARGIN{250};
   /// Initial delay after a failed write by a daemon without the lease; doubles with each failure.
   /// During an outage of the store the attempts of every daemon are billed and none can succeed.
-  static constexpr Common::Milliseconds FIRST_RETRY{100};
+  static constexpr Common::Milliseconds FIRST_RETRY_DELAY{100};
   static constexpr int MAX_RETRY_DOUBLINGS = 3;
   /// Random delay, so that daemons that find the lease free do not all write at once.
-  static constexpr std::uint64_t SPREAD_MS = 250;
-  static constexpr std::uint64_t SPREAD_MS_PER_DAEMON = 10;
+  static constexpr std::uint64_t MAX_JITTER_MS = 250;
+  static constexpr std::uint64_t MAX_JITTER_MS_PER_DAEMON = 10;
   /// After an outage of the store, a lease that was not released is reserved for its last holder
   /// for this long: daemons detect the store's return up to a second apart, and the pause between
   /// two holders would cost three seconds. Measured gain for three kinds of outage: +0.015 +- 0.016
   /// to +0.068 +- 0.011 (8 paired runs each, together with the connection time limit and the
   /// gathering of table changes).
-  static constexpr Common::Milliseconds RECLAIM_TIME{1200};
+  static constexpr Common::Milliseconds RESERVATION_TIME{1200};
   /// Losses of the lease that are at most this far apart are counted together.
-  static constexpr Common::Milliseconds LOSS_MEMORY{15000};
+  static constexpr Common::Milliseconds LOSS_WINDOW{15000};
   /// Factor applied to the handicap of a VM that loses the lease repeatedly.
-  static constexpr int HANDICAP_AFTER_LOSSES = 2;
+  static constexpr int LOSS_HANDICAP_FACTOR = 2;
 
   void Tick()
   {
     const auto now = Common::Now();
     if (m_fence && !Holds(now))
-      Lose("lease expired");
-    if (!m_writing && m_seen)
-      Act(now);
+      OnLeaseLost("lease expired");
+    if (!m_writing && m_row_known)
+      AcquireOrRenew(now);
     m_timer.Start(TICK, [this] {
       Tick();
     });
   }
 
-  void Act(Common::TimePoint now)
+  void AcquireOrRenew(Common::TimePoint now)
   {
     if (m_fence)
     {
-      const auto renew_at = m_valid_until - m_settings.duration * (1 - RENEW_AT);
+      const auto renew_at = m_valid_until - m_settings.duration * (1 - RENEW_FRACTION);
       if (now >= renew_at)
         Write(now, "renewed");
       return;
     }
     if (!IsFree(now))
     {
-      m_free_since.reset();
+      m_acquire_at.reset();
       return;
     }
     if (m_store_lost || now < m_retry_at)
       return;
-    if (!m_free_since)
-      m_free_since = now + WaitBeforeTaking(now);
-    if (now >= *m_free_since)
+    if (!m_acquire_at)
+      m_acquire_at = now + AcquisitionDelay(now);
+    if (now >= *m_acquire_at)
       Write(now, "acquired");
   }
 
   /// Delay before this daemon takes a free lease. The last holder need not wait for the pause
   /// between holders and therefore goes first, unless its VM is weak. A daemon that has lost the
   /// lease more than once recently goes after the others, because its VM cannot sustain the work.
-  Common::Milliseconds WaitBeforeTaking(Common::TimePoint now) const
+  Common::Milliseconds AcquisitionDelay(Common::TimePoint now) const
   {
-    const bool loses_often = m_losses > 1 && now - m_lost_at < LOSS_MEMORY;
+    const bool loses_repeatedly = m_losses > 1 && now - m_lost_at < LOSS_WINDOW;
     // If all VMs are equally weak, none has to wait.
-    const auto beyond = std::max(m_settings.handicap - m_least_handicap, Common::Milliseconds(0));
-    const auto handicap = loses_often ? m_settings.handicap * HANDICAP_AFTER_LOSSES : beyond;
-    if (IsOurs())
+    const auto relative_handicap =
+        std::max(m_settings.handicap - m_least_handicap, Common::Milliseconds(0));
+    const auto handicap =
+        loses_repeatedly ? m_settings.handicap * LOSS_HANDICAP_FACTOR : relative_handicap;
+    if (IsOwnLease())
       return handicap;
-    const auto spread = std::max(SPREAD_MS, SPREAD_MS_PER_DAEMON * m_contenders);
+    const auto max_jitter = std::max(MAX_JITTER_MS, MAX_JITTER_MS_PER_DAEMON * m_contenders);
     const bool has_last_holder = m_record && !m_record->holder.Empty();
-    const auto reclaim_left = has_last_holder
-                                  ? std::chrono::ceil<Common::Milliseconds>(m_reclaimed_until - now)
-                                  : Common::Milliseconds(0);
-    return std::max(reclaim_left, Common::Milliseconds(0)) + handicap +
-           Common::Milliseconds(Common::SharedRandom()() % spread);
+    const auto reservation_left =
+        has_last_holder ? std::chrono::ceil<Common::Milliseconds>(m_reserved_until - now)
+                        : Common::Milliseconds(0);
+    return std::max(reservation_left, Common::Milliseconds(0)) + handicap +
+           Common::Milliseconds(Common::SharedRandom()() % max_jitter);
   }
 
-  bool IsOurs() const { return m_record && m_record->holder == m_settings.self; }
+  bool IsOwnLease() const { return m_record && m_record->holder == m_settings.self; }
 
   bool IsFree(Common::TimePoint now) const
   {
-    if (!m_record || m_record->holder.Empty() || IsOurs())
+    if (!m_record || m_record->holder.Empty() || IsOwnLease())
       return true;
     return now > m_free_at;
   }
@@ -250,34 +253,34 @@
     m_writing = true;
     const bool ordering = m_fence && now >= m_orders_from;
     const LeaseRecord record{m_settings.self, m_settings.run, m_settings.address, ordering};
-    const bool follows_another = m_record && !(IsOurs() && m_record->ordering);
+    const bool after_other_holder = m_record && !(IsOwnLease() && m_record->ordering);
     m_store.ReplaceLease(
         m_version, record,
-        [this, now, what, record, follows_another](Common::Result<std::int64_t> result) {
+        [this, now, what, record, after_other_holder](Common::Result<std::int64_t> result) {
           m_writing = false;
-          TakeResult(now, what, record, follows_another, std::move(result));
+          OnWriteResult(now, what, record, after_other_holder, std::move(result));
         });
   }
 
-  void TakeResult(Common::TimePoint sent, const char* what, const LeaseRecord& record,
-                  bool follows_another, Common::Result<std::int64_t> result)
+  void OnWriteResult(Common::TimePoint sent, const char* what, const LeaseRecord& record,
+                     bool after_other_holder, Common::Result<std::int64_t> result)
   {
     if (m_released)
     {
       if (!result)
         return;
       m_version = std::max(m_version, *result);
-      GiveBack();
+      WriteRelease();
       return;
     }
     if (!result)
     {
-      m_retry_at =
-          Common::Now() + FIRST_RETRY * (1 << std::min(m_write_failures, MAX_RETRY_DOUBLINGS));
+      m_retry_at = Common::Now() +
+                   FIRST_RETRY_DELAY * (1 << std::min(m_write_failures, MAX_RETRY_DOUBLINGS));
       ++m_write_failures;
       Common::LogEvent(Common::LogLevel::Warning, "lease-write-failed",
                        {{"reason", Common::ToString(result.Reason().kind)}});
-      DropIfNotOurs();
+      CheckOwnership();
       return;
     }
     m_write_failures = 0;
@@ -288,14 +291,14 @@
     if (m_fence)
       return;
     m_fence = *result;
-    m_free_since.reset();
+    m_acquire_at.reset();
     // The previous holder may have sent orders until its lease expired.
-    m_orders_from = follows_another ? now + m_settings.holder_pause : now;
+    m_orders_from = after_other_holder ? now + m_settings.holder_pause : now;
     Common::LogEvent(Common::LogLevel::Info, "lease-acquired",
-                     {{"fence", *m_fence}, {"how", what}, {"after_another", follows_another}});
+                     {{"fence", *m_fence}, {"how", what}, {"after_another", after_other_holder}});
   }
 
-  void GiveBack()
+  void WriteRelease()
   {
     m_store.ReplaceLease(m_version, LeaseRecord{}, [](Common::Result<std::int64_t> result) {
       Common::LogEvent(Common::LogLevel::Info, "lease-released",
@@ -303,26 +306,26 @@
     });
   }
 
-  void DropIfNotOurs()
+  void CheckOwnership()
   {
-    const bool ours = IsOurs() && m_record->run == m_settings.run;
+    const bool ours = IsOwnLease() && m_record->run == m_settings.run;
     if (m_fence && !ours)
-      Lose("held by another daemon");
+      OnLeaseLost("held by another daemon");
   }
 
-  void Lose(const char* why)
+  void OnLeaseLost(const char* why)
   {
     Common::LogEvent(Common::LogLevel::Warning, "lease-lost", {{"fence", *m_fence}, {"why", why}});
     m_fence.reset();
-    m_free_since.reset();
+    m_acquire_at.reset();
     const auto now = Common::Now();
-    m_losses = now - m_lost_at < LOSS_MEMORY ? m_losses + 1 : 1;
+    m_losses = now - m_lost_at < LOSS_WINDOW ? m_losses + 1 : 1;
     m_lost_at = now;
   }
 
   Store& m_store;
   LeaseSettings m_settings;
-  bool m_seen = false;
+  bool m_row_known = false;
   std::int64_t m_version = 0;
   std::optional<LeaseRecord> m_record;
   Common::TimePoint m_free_at; ///< When another daemon's lease has certainly expired.
@@ -330,16 +333,16 @@
       m_fence; ///< The row's version at acquisition, if this daemon holds it.
   Common::TimePoint m_valid_until;
   Common::TimePoint m_orders_from;
-  std::optional<Common::TimePoint> m_free_since;
+  std::optional<Common::TimePoint> m_acquire_at;
   int m_write_failures = 0;
   Common::TimePoint m_retry_at;
-  Common::TimePoint m_reclaimed_until; ///< Until then the lease is reserved for its last holder.
+  Common::TimePoint m_reserved_until; ///< Until then the lease is reserved for its last holder.
   std::uint64_t m_contenders = 1;
   Common::Milliseconds m_least_handicap{0};
   bool m_writing = false;
   bool m_released = false;
   bool m_store_lost = false;
-  int m_losses = 0; ///< Losses of the lease, each within `LOSS_MEMORY` of the previous one.
+  int m_losses = 0; ///< Losses of the lease, each within `LOSS_WINDOW` of the previous one.
   Common::TimePoint m_lost_at;
   Common::OwnedTimer m_timer;
 };
--- a/Source/Core/Orders/OrderDesk.cpp
+++ b/Source/Core/Orders/OrderManager.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Orders/OrderDesk.h"
+#include "Orders/OrderManager.h"
 
 #include <algorithm>
 #include <cmath>
@@ -30,14 +30,14 @@
 /// the server's report is read.
 constexpr Milliseconds ENTRY_SLACK{600};
 /// An order is abandoned if it shows no effect within twice its usual time plus this.
-constexpr Milliseconds GIVE_UP_AFTER{6000};
+constexpr Milliseconds ORDER_TIMEOUT{6000};
 /// How long a server gets no orders after it was unreachable or rejected one as fenced, malformed
 /// or meant for another instance.
-constexpr Milliseconds UNREACHABLE_PAUSE{1000};
+constexpr Milliseconds REJECTION_PAUSE{1000};
 /// Added to `ENTRY_SLACK` for loads, which take longer to become visible than unloads.
 constexpr Milliseconds LOAD_SLACK{1000};
 /// Number of load start times kept; far more than the rate limit allows within its window.
-constexpr std::size_t REMEMBERED_LOADS = 1000;
+constexpr std::size_t MAX_STORE_LOAD_STARTS = 1000;
 
 const char* ToString(Decisions::WeightSource source)
 {
@@ -78,13 +78,13 @@
   {
   case OrderAnswer::Accepted:
     return "accepted";
-  case OrderAnswer::AlreadySo:
+  case OrderAnswer::AlreadyInState:
     return "already_so";
   case OrderAnswer::Busy:
     return "busy";
   case OrderAnswer::Fenced:
     return "fenced";
-  case OrderAnswer::OtherServer:
+  case OrderAnswer::OtherInstance:
     return "other_server";
   case OrderAnswer::Malformed:
     return "malformed";
@@ -92,50 +92,50 @@
   return "unknown";
 }
 
-OrderDesk::OrderDesk(Gateway::ServerDirectory& servers, OrderChannel channel,
-                     OrderDeskSettings settings)
+OrderManager::OrderManager(Gateway::ServerDirectory& servers, OrderChannel channel,
+                           OrderManagerSettings settings)
     : m_servers(servers), m_channel(std::move(channel)), m_settings(settings)
 {
 }
 
-void OrderDesk::Forget()
+void OrderManager::Reset()
 {
-  m_books.clear();
-  m_slots.clear();
-  m_slots_revision = 0;
-  m_store_loads.clear();
+  m_server_records.clear();
+  m_server_refs.clear();
+  m_server_refs_revision = 0;
+  m_store_load_starts.clear();
 }
 
-void OrderDesk::SetConfiguration(std::shared_ptr<const Gateway::Configuration> configuration)
+void OrderManager::SetConfiguration(std::shared_ptr<const Gateway::Configuration> configuration)
 {
   m_configuration = std::move(configuration);
-  std::erase_if(m_plans, [&](const auto& entry) {
+  std::erase_if(m_plan_inputs, [&](const auto& entry) {
     const auto pool = m_configuration->pools.find(entry.first);
     return pool == m_configuration->pools.end() || !pool->second.engine;
   });
   for (const auto& [id, pool] : m_configuration->pools)
     if (pool.engine)
-      m_plans[id].Configure(pool);
-  m_slots.clear();
-  m_slots_revision = 0;
+      m_plan_inputs[id].Configure(pool);
+  m_server_refs.clear();
+  m_server_refs_revision = 0;
 }
 
-void OrderDesk::TakeReport(const DaemonReport& report, TimePoint now)
+void OrderManager::OnDaemonReport(const DaemonReport& report, TimePoint now)
 {
-  DaemonBook& daemon = m_daemons[report.vm];
+  DaemonRecord& daemon = m_daemons[report.vm];
   if (daemon.last.run == report.run && report.sequence <= daemon.last.sequence)
     return;
   daemon.last = report;
-  daemon.heard_at = now;
-  m_flights.Take(report.vm, report.loads);
-  for (auto& [pool, plan] : m_plans)
+  daemon.last_report_at = now;
+  m_in_flight_totals.UpdateDaemon(report.vm, report.loads);
+  for (auto& [pool, plan_input] : m_plan_inputs)
   {
     const auto of_pool = [&](const DemandLine& line) {
       return line.pool == pool;
     };
     std::vector<DemandLine> lines;
     std::ranges::copy_if(report.demand, std::back_inserter(lines), of_pool);
-    if (plan.TakeDemand(report.vm, lines, now))
+    if (plan_input.ApplyDemand(report.vm, lines, now))
       continue;
     ++m_counters["demand_for_unknown_models"];
     if (!std::exchange(m_unknown_logged, true))
@@ -144,30 +144,30 @@
   }
   for (const DemandLine& line : report.demand)
     if (line.artifact.IsAdapter() && (line.arrivals > 0 || line.waiting > 0))
-      m_adapter_wanted[line.artifact] = now;
+      m_adapter_last_demand[line.artifact] = now;
 }
 
-void OrderDesk::DropSilentDaemons(TimePoint now)
+void OrderManager::DropSilentDaemons(TimePoint now)
 {
   std::erase_if(m_daemons, [&](const auto& entry) {
-    if (now - entry.second.heard_at <= DAEMON_SILENT_AFTER)
+    if (now - entry.second.last_report_at <= DAEMON_SILENT_AFTER)
       return false;
-    m_flights.Drop(entry.first);
-    for (auto& [pool, plan] : m_plans)
-      plan.DropDaemon(entry.first);
+    m_in_flight_totals.RemoveDaemon(entry.first);
+    for (auto& [pool, plan_input] : m_plan_inputs)
+      plan_input.DropDaemon(entry.first);
     return true;
   });
 }
 
-void OrderDesk::SumBackoffs()
+void OrderManager::CountBackoffs()
 {
-  m_backing_off.clear();
+  m_backoff_counts.clear();
   for (const auto& [vm, daemon] : m_daemons)
     for (const ServerHash server : daemon.last.backing_off)
-      ++m_backing_off[server];
+      ++m_backoff_counts[server];
 }
 
-void OrderDesk::PlanSoon()
+void OrderManager::SchedulePlan()
 {
   if (m_plan_timer.Running())
     return;
@@ -176,65 +176,66 @@
   });
 }
 
-void OrderDesk::Plan(TimePoint now)
+void OrderManager::Plan(TimePoint now)
 {
   if (!m_configuration || !m_permit())
     return;
   DropSilentDaemons(now);
-  SumBackoffs();
-  RefreshSlots();
-  for (Slot& slot : m_slots)
+  CountBackoffs();
+  RebuildServerRefs();
+  for (ServerRef& ref : m_server_refs)
   {
-    RefreshSlot(slot, now);
-    CheckOpen(slot.server, *slot.book, now);
-    LearnState(slot.server, *slot.book, now);
+    UpdateServerRef(ref, now);
+    CheckOpenOrder(ref.server, *ref.record, now);
+    QueryState(ref.server, *ref.record, now);
   }
-  for (auto& [id, plan] : m_plans)
+  for (auto& [id, plan_input] : m_plan_inputs)
   {
     const Gateway::Pool& pool = m_configuration->pools.at(id);
-    PlanPool(pool, plan, now);
+    PlanPool(pool, plan_input, now);
     PlanAdapters(pool, now);
   }
 }
 
-void OrderDesk::CheckOpen(const ServerPtr& server, ServerBook& book, TimePoint now)
+void OrderManager::CheckOpenOrder(const ServerPtr& server, ServerRecord& record, TimePoint now)
 {
-  if (!book.open)
+  if (!record.open)
     return;
-  OpenOrder& open = *book.open;
+  OpenOrder& open = *record.open;
   const bool holds = server->HoldsModel(open.call.artifact.model);
   const bool wanted = open.call.operation == OrderCall::Operation::Load;
   if (holds == wanted && open.accepted)
   {
-    CloseOrder(server->Entry().instance, book, "done");
+    CloseOrder(server->Entry().instance, record, "done");
     return;
   }
-  if (open.in_exchange || now < open.next_check)
+  if (open.call_pending || now < open.next_check)
     return;
   // A load that was not accepted yet is useless on a draining server.
   if (wanted && !open.accepted && server->IsDraining())
   {
-    CloseOrder(server->Entry().instance, book, "draining");
+    CloseOrder(server->Entry().instance, record, "draining");
     return;
   }
   const auto pool = m_configuration->pools.find(server->Entry().pool);
   const auto usual = pool != m_configuration->pools.end() && pool->second.engine
                          ? LoadTime(*pool->second.engine, open.call.artifact.model, open.source)
                          : Milliseconds(0);
-  if (now - open.first_sent > usual * 2 + GIVE_UP_AFTER)
+  if (now - open.first_sent > usual * 2 + ORDER_TIMEOUT)
   {
-    CloseOrder(server->Entry().instance, book, "given_up");
+    CloseOrder(server->Entry().instance, record, "given_up");
     return;
   }
   if (!server->GetBackoff().IsNamed(now))
-    AskReport(server, book);
+    QueryOpenOrder(server, record);
 }
 
-void OrderDesk::Give(const ServerPtr& server, OrderCall::Operation operation, const ModelId& model,
-                     NextOrders next, Decisions::WeightSource source, const std::string& reason)
+void OrderManager::StartOrder(const ServerPtr& server, OrderCall::Operation operation,
+                              const ModelId& model, NextOrders next, Decisions::WeightSource source,
+                              const std::string& reason)
 {
   const auto now = Common::Now();
-  ServerBook& book = m_books[server->Entry().instance];
+  ServerRecord& record = m_server_records[server->Entry().instance];
   OpenOrder open;
   open.call.instance = server->Entry().instance;
   open.call.endpoint = server->Entry().endpoint;
@@ -249,55 +250,55 @@
     ++m_counters[std::string("load_from_") + ToString(source)];
   if (is_load && source == Decisions::WeightSource::WeightStore)
   {
-    m_store_loads.push_back(now);
-    while (m_store_loads.size() > REMEMBERED_LOADS)
-      m_store_loads.pop_front();
+    m_store_load_starts.push_back(now);
+    while (m_store_load_starts.size() > MAX_STORE_LOAD_STARTS)
+      m_store_load_starts.pop_front();
   }
-  book.open = std::move(open);
+  record.open = std::move(open);
   Common::LogEvent(Common::LogLevel::Info, "order",
-                   {{"order", book.open->id},
+                   {{"order", record.open->id},
                     {"instance", server->Entry().instance},
                     {"operation", is_load ? "load" : "unload"},
                     {"model", model},
                     {"source", ToString(source)},
-                    {"sequence", book.sequence},
+                    {"sequence", record.sequence},
                     {"reason", reason}});
   const bool from_store = source == Decisions::WeightSource::WeightStore;
-  if ((!is_load || from_store) && m_on_placement)
-    m_on_placement();
-  SendOpen(server, book);
+  if ((!is_load || from_store) && m_on_placement_change)
+    m_on_placement_change();
+  SendOpenOrder(server, record);
 }
 
-void OrderDesk::SendOpen(const ServerPtr& server, ServerBook& book)
+void OrderManager::SendOpenOrder(const ServerPtr& server, ServerRecord& record)
 {
-  OpenOrder& open = *book.open;
+  OpenOrder& open = *record.open;
   const auto permit = m_permit();
-  if (!permit || book.adapter_in_exchange || server->GetBackoff().IsNamed(Common::Now()))
+  if (!permit || record.adapter_call_pending || server->GetBackoff().IsNamed(Common::Now()))
   {
     open.next_check = Common::Now();
     return;
   }
-  open.in_exchange = true;
+  open.call_pending = true;
   open.call.fence = permit->fence;
   open.call.send_before = permit->until;
-  open.call.expected_sequence = book.sequence;
+  open.call.expected_sequence = record.sequence;
   const InstanceId instance = server->Entry().instance;
   const std::uint64_t id = open.id;
   m_channel.send(open.call, [this, instance, id](Common::Result<OrderAnswer> answer) {
-    TakeAnswer(instance, id, std::move(answer));
+    OnOrderAnswer(instance, id, std::move(answer));
   });
 }
 
-void OrderDesk::TakeAnswer(const InstanceId& instance, std::uint64_t id,
-                           Common::Result<OrderAnswer> answer)
+void OrderManager::OnOrderAnswer(const InstanceId& instance, std::uint64_t id,
+                                 Common::Result<OrderAnswer> answer)
 {
-  const auto found = m_books.find(instance);
-  if (found == m_books.end() || !found->second.open || found->second.open->id != id)
+  const auto found = m_server_records.find(instance);
+  if (found == m_server_records.end() || !found->second.open || found->second.open->id != id)
     return;
-  ServerBook& book = found->second;
-  OpenOrder& open = *book.open;
+  ServerRecord& record = found->second;
+  OpenOrder& open = *record.open;
   const auto now = Common::Now();
-  open.in_exchange = false;
+  open.call_pending = false;
   Common::LogEvent(
       answer ? Common::LogLevel::Info : Common::LogLevel::Warning, "order-answer",
       {{"order", id},
@@ -305,72 +306,73 @@
        {"answer", answer ? ToString(*answer) : Common::ToString(answer.Reason().kind)}});
   if (!answer)
   {
-    open.next_check = now + CHECK_PAUSE;
+    open.next_check = now + QUERY_INTERVAL;
     if (answer.Reason().kind != Common::FailureKind::NotSent)
     {
-      NoteUnanswered(book, open, now);
+      RecordUnanswered(record, open, now);
       return;
     }
-    book.unusable_until = now + UNREACHABLE_PAUSE;
-    CloseOrder(instance, book, "not_sent");
+    record.unusable_until = now + REJECTION_PAUSE;
+    CloseOrder(instance, record, "not_sent");
     return;
   }
   switch (*answer)
   {
   case OrderAnswer::Accepted:
     open.accepted = true;
-    book.sequence = open.call.expected_sequence + 1;
+    record.sequence = open.call.expected_sequence + 1;
     open.next_check = now + ENTRY_SLACK;
     if (open.call.operation == OrderCall::Operation::Load)
       open.next_check += LOAD_SLACK;
     break;
-  case OrderAnswer::AlreadySo:
+  case OrderAnswer::AlreadyInState:
     open.accepted = true;
     open.next_check = now + ENTRY_SLACK;
     break;
   case OrderAnswer::Busy:
     // The expected sequence is wrong, or an earlier unanswered order is being carried out.
-    CloseOrder(instance, book, ToString(*answer));
+    CloseOrder(instance, record, ToString(*answer));
     break;
-  case OrderAnswer::OtherServer:
+  case OrderAnswer::OtherInstance:
   case OrderAnswer::Fenced:
   case OrderAnswer::Malformed:
-    book.unusable_until = now + UNREACHABLE_PAUSE;
-    CloseOrder(instance, book, ToString(*answer));
+    record.unusable_until = now + REJECTION_PAUSE;
+    CloseOrder(instance, record, ToString(*answer));
     break;
   }
 }
 
-void OrderDesk::AskReport(const ServerPtr& server, ServerBook& book)
+void OrderManager::QueryOpenOrder(const ServerPtr& server, ServerRecord& record)
 {
-  book.open->in_exchange = true;
+  record.open->call_pending = true;
   const InstanceId instance = server->Entry().instance;
-  const std::uint64_t id = book.open->id;
+  const std::uint64_t id = record.open->id;
   m_channel.read_report(instance, server->Entry().endpoint,
                         [this, instance, id](Common::Result<ServerReport> report) {
-                          TakeServerReport(instance, id, std::move(report));
+                          OnOpenOrderReport(instance, id, std::move(report));
                         });
 }
 
-void OrderDesk::TakeServerReport(const InstanceId& instance, std::uint64_t id,
-                                 Common::Result<ServerReport> report)
+void OrderManager::OnOpenOrderReport(const InstanceId& instance, std::uint64_t id,
+                                     Common::Result<ServerReport> report)
 {
-  const auto found = m_books.find(instance);
+  const auto found = m_server_records.find(instance);
   const ServerPtr server = m_servers.Find(instance);
-  if (found == m_books.end() || !server || !found->second.open || found->second.open->id != id)
+  if (found == m_server_records.end() || !server || !found->second.open ||
+      found->second.open->id != id)
     return;
-  ServerBook& book = found->second;
-  OpenOrder& open = *book.open;
+  ServerRecord& record = found->second;
+  OpenOrder& open = *record.open;
   const auto now = Common::Now();
-  open.in_exchange = false;
-  open.next_check = now + CHECK_PAUSE;
-  if (!report || !IsOfThisLife(instance, *report))
+  open.call_pending = false;
+  open.next_check = now + QUERY_INTERVAL;
+  if (!report || !IsFromInstance(instance, *report))
     return;
   const bool holds = std::ranges::find(report->models, open.call.artifact.model,
                                        &Gateway::LoadedModel::model) != report->models.end();
   const bool wanted = open.call.operation == OrderCall::Operation::Load;
   const bool moved = report->order_sequence > open.call.expected_sequence;
-  book.sequence = std::max(book.sequence, report->order_sequence);
+  record.sequence = std::max(record.sequence, report->order_sequence);
   if (holds == wanted && (moved || open.accepted))
   {
     // Wait for the entry to be updated; until then the server directory contradicts this report.
@@ -381,62 +383,64 @@
     return;
   // Nothing indicates that the order was accepted. If it is sent again, at most one copy takes
   // effect.
-  SendOpen(server, book);
+  SendOpenOrder(server, record);
 }
 
-void OrderDesk::CloseOrder(const InstanceId& instance, ServerBook& book, const char* outcome)
+void OrderManager::CloseOrder(const InstanceId& instance, ServerRecord& record, const char* outcome)
 {
-  const OpenOrder closed = std::move(*book.open);
-  book.open.reset();
+  const OpenOrder closed = std::move(*record.open);
+  record.open.reset();
   ++m_counters[outcome];
   const auto took = std::chrono::duration_cast<Milliseconds>(Common::Now() - closed.first_sent);
   Common::LogEvent(
       Common::LogLevel::Info, "order-closed",
       {{"order", closed.id}, {"instance", instance}, {"outcome", outcome}, {"ms", took.count()}});
-  if (m_on_placement)
-    m_on_placement();
+  if (m_on_placement_change)
+    m_on_placement_change();
   const ServerPtr server = m_servers.Find(instance);
   const bool done = std::string_view(outcome) == "done";
   if (!done)
-    book.state_known = false;
+    record.state_known = false;
   if (done && server && !server->IsDraining())
-    GiveNext(server, closed);
+    StartNextOrder(server, closed);
 }
 
-void OrderDesk::GiveNext(const ServerPtr& server, const OpenOrder& done)
+void OrderManager::StartNextOrder(const ServerPtr& server, const OpenOrder& done)
 {
   if (!done.next.unloads.empty())
   {
     NextOrders next = done.next;
     const ModelId model = next.unloads.front();
     next.unloads.erase(next.unloads.begin());
-    Give(server, OrderCall::Operation::Unload, model, std::move(next), done.source, "after unload");
+    StartOrder(server, OrderCall::Operation::Unload, model, std::move(next), done.source,
+               "after unload");
     return;
   }
   if (done.next.load)
-    Give(server, OrderCall::Operation::Load, *done.next.load, {}, done.source, "after unload");
+    StartOrder(server, OrderCall::Operation::Load, *done.next.load, {}, done.source,
+               "after unload");
 }
 
-std::vector<PlacementLine> OrderDesk::Placements() const
+std::vector<PlacementLine> OrderManager::Placements() const
 {
   const auto now = Common::Now();
   std::vector<PlacementLine> lines;
   for (const auto& [instance, server] : m_servers.All())
   {
-    const auto book = m_books.find(instance);
-    if (book == m_books.end())
+    const auto record = m_server_records.find(instance);
+    if (record == m_server_records.end())
       continue;
     PlacementLine line;
     line.instance = instance;
-    for (const Artifact& artifact : AdaptersOn(*server, book->second))
+    for (const Artifact& artifact : AdaptersOn(*server, record->second))
     {
-      const auto coming = book->second.adapters.find(artifact);
+      const auto coming = record->second.adapters.find(artifact);
       const bool arrived =
-          coming == book->second.adapters.end() || coming->second.usable_from <= now;
-      if (arrived && !book->second.leaving_adapters.contains(artifact))
+          coming == record->second.adapters.end() || coming->second.usable_from <= now;
+      if (arrived && !record->second.leaving_adapters.contains(artifact))
         line.adapters.push_back(artifact);
     }
-    const auto& open = book->second.open;
+    const auto& open = record->second.open;
     if (open && open->call.operation == OrderCall::Operation::Unload)
     {
       line.leaving = open->next.unloads;
--- a/Source/Core/Orders/PlacementLog.cpp
+++ b/Source/Core/Orders/PlacementLog.cpp
@@ -28,9 +28,9 @@
   }
 }
 
-PlacementNews PlacementLog::Since(std::uint64_t version, std::size_t max_bytes) const
+PlacementUpdate PlacementLog::Since(std::uint64_t version, std::size_t max_bytes) const
 {
-  PlacementNews news{version, m_version, {}};
+  PlacementUpdate update{version, m_version, {}};
   std::size_t bytes = 0;
   for (auto next = m_by_version.upper_bound(version); next != m_by_version.end(); ++next)
   {
@@ -38,11 +38,11 @@
     bytes += BytesOf(line);
     if (bytes > max_bytes)
     {
-      news.to = std::max(version, next->first - 1);
+      update.to = std::max(version, next->first - 1);
       break;
     }
-    news.lines.push_back(line);
+    update.lines.push_back(line);
   }
-  return news;
+  return update;
 }
 } // namespace Orders
--- a/Source/Core/Orders/PlacementLog.h
+++ b/Source/Core/Orders/PlacementLog.h
@@ -13,7 +13,7 @@
 namespace Orders
 {
 /// The part of the placements that changed between two versions, as sent by the lease holder.
-struct PlacementNews
+struct PlacementUpdate
 {
   /// `lines` is complete for the versions after `from` up to and including `to`.
   std::uint64_t from = 0;
@@ -31,9 +31,9 @@
 
   /// The lines that changed after `version`, oldest first, up to `max_bytes` in total. A message
   /// has a size limit but the number of lines has none, so the receiver gets the rest once it has
-  /// reached `PlacementNews::to`.
-  PlacementNews Since(std::uint64_t version, std::size_t max_bytes) const;
-  PlacementNews Since(std::uint64_t version) const { return Since(version, SIZE_MAX); }
+  /// reached `PlacementUpdate::to`.
+  PlacementUpdate Since(std::uint64_t version, std::size_t max_bytes) const;
+  PlacementUpdate Since(std::uint64_t version) const { return Since(version, SIZE_MAX); }
 
 private:
   struct VersionedLine
--- a/Source/Core/Orders/PlanBook.cpp
+++ b/Source/Core/Orders/PlanInputBuilder.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Orders/PlanBook.h"
+#include "Orders/PlanInputBuilder.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,13 +19,13 @@
 using Decisions::ServerIndex;
 using Gateway::ModelId;
 
-double PlanBook::Rate::At(TimePoint now) const
+double PlanInputBuilder::Rate::At(TimePoint now) const
 {
   const double elapsed = std::chrono::duration<double>(now - updated).count();
   return arrivals_per_second * std::exp(-elapsed / RATE_SECONDS);
 }
 
-ModelIndex PlanBook::Intern(const ModelId& model)
+ModelIndex PlanInputBuilder::Intern(const ModelId& model)
 {
   const auto [found, is_new] = m_models.try_emplace(model, ModelIndex(m_names.size()));
   if (is_new)
@@ -38,7 +38,7 @@
   return found->second;
 }
 
-void PlanBook::Configure(const Gateway::Pool& pool)
+void PlanInputBuilder::Configure(const Gateway::Pool& pool)
 {
   const Gateway::EngineSpec& engine = *pool.engine;
   m_memory_mb = engine.memory_mb;
@@ -66,19 +66,20 @@
   m_adapters_mb = engine.adapter_slots * largest_adapter_mb;
 }
 
-void PlanBook::SetServers(std::vector<Gateway::ServerPtr> servers, FlightBook& flights)
+void PlanInputBuilder::SetServers(std::vector<Gateway::ServerPtr> servers,
+                                  InFlightTotals& in_flight_totals)
 {
   m_servers = std::move(servers);
   m_loads.clear();
   std::ranges::transform(m_servers, std::back_inserter(m_loads), [&](const auto& server) {
-    return &flights.Of(server->Entry().instance);
+    return &in_flight_totals.ForServer(server->Entry().instance);
   });
   m_input.copies.Clear();
   m_input.servers.assign(m_servers.size(), {});
 }
 
-bool PlanBook::TakeDemand(const Common::VmId& daemon, const std::vector<DemandLine>& lines,
-                          TimePoint now)
+bool PlanInputBuilder::ApplyDemand(const Common::VmId& daemon, const std::vector<DemandLine>& lines,
+                                   TimePoint now)
 {
   bool all_known = true;
   std::vector<WaitingLine>& waiting = m_waiting[daemon];
@@ -106,7 +107,7 @@
   return all_known;
 }
 
-void PlanBook::SetHeld(ServerIndex server, const std::vector<HeldModel>& held)
+void PlanInputBuilder::SetHeld(ServerIndex server, const std::vector<HeldModel>& held)
 {
   const Gateway::ServerEntry& entry = ServerAt(server)->Entry();
   const auto positions = [&](const std::vector<ModelId>& models) {
@@ -123,7 +124,7 @@
     replicas.push_back({Intern(model.model), 0, model.since});
 }
 
-void PlanBook::SetState(ServerIndex server, const ServerState& state)
+void PlanInputBuilder::SetState(ServerIndex server, const ServerState& state)
 {
   Decisions::PlannedServer& planned = m_input.servers[At(server)];
   planned.usable = state.usable;
@@ -136,17 +137,17 @@
     planned.loading = Intern(*state.loading);
 }
 
-const Decisions::ReplicaPlanInput& PlanBook::Input(TimePoint now, int store_loads_allowed)
+const Decisions::ReplicaPlanInput& PlanInputBuilder::Input(TimePoint now, int store_loads_allowed)
 {
   m_input.now = now;
   m_input.store_loads_allowed = store_loads_allowed;
   SumDemand(now);
-  SumFlights();
-  AgeUnserved(now);
+  SumInFlight();
+  UpdateUnserved(now);
   return m_input;
 }
 
-void PlanBook::SumDemand(TimePoint now)
+void PlanInputBuilder::SumDemand(TimePoint now)
 {
   for (std::size_t i = 0; i < m_input.models.size(); ++i)
   {
@@ -169,7 +170,7 @@
     }
 }
 
-void PlanBook::AgeUnserved(TimePoint now)
+void PlanInputBuilder::UpdateUnserved(TimePoint now)
 {
   std::vector<bool> held(m_input.models.size());
   for (const Decisions::PlannedServer& server : m_input.servers)
@@ -183,7 +184,7 @@
   }
 }
 
-void PlanBook::SumFlights()
+void PlanInputBuilder::SumInFlight()
 {
   for (std::size_t i = 0; i < m_servers.size(); ++i)
   {
--- a/Source/Core/Orders/PlanBook.h
+++ b/Source/Core/Orders/PlanInputBuilder.h
@@ -13,7 +13,7 @@
 #include "Decisions/UnservedDemand.h"
 #include "Gateway/ServerDirectory.h"
 #include "Gateway/Types.h"
-#include "Orders/FlightBook.h"
+#include "Orders/InFlightTotals.h"
 #include "Orders/Messages.h"
 
 namespace Orders
@@ -44,20 +44,20 @@
 /// arrival, so that a plan visits each server and model once. Rebuilding the input from maps keyed
 /// by name took 24 to 47 ms per plan with 256 servers, 1,375 models and 100 to 600 waiting
 /// requests.
-class PlanBook
+class PlanInputBuilder
 {
 public:
   /// Sets the pool's models and limits from the current configuration.
   void Configure(const Gateway::Pool& pool);
   /// Replaces all servers and discards their state. `ServerIndex` follows the order given.
-  void SetServers(std::vector<Gateway::ServerPtr> servers, FlightBook& flights);
+  void SetServers(std::vector<Gateway::ServerPtr> servers, InFlightTotals& in_flight_totals);
   const std::vector<Gateway::ServerPtr>& Servers() const { return m_servers; }
 
   /// Handles a daemon's demand for models of this pool: arrivals are added to the rates, and the
   /// waiting requests replace those of its previous report. False if any model is not in the
   /// configuration.
-  bool TakeDemand(const Common::VmId& daemon, const std::vector<DemandLine>& lines,
-                  Common::TimePoint now);
+  bool ApplyDemand(const Common::VmId& daemon, const std::vector<DemandLine>& lines,
+                   Common::TimePoint now);
   void DropDaemon(const Common::VmId& daemon) { m_waiting.erase(daemon); }
 
   /// Called when the server's entry or its loaded models have changed.
@@ -98,8 +98,8 @@
   /// The model's index. A model that is not in the configuration gets one too, with `listed` false.
   Decisions::ModelIndex Intern(const Gateway::ModelId& model);
   void SumDemand(Common::TimePoint now);
-  void SumFlights();
-  void AgeUnserved(Common::TimePoint now);
+  void SumInFlight();
+  void UpdateUnserved(Common::TimePoint now);
 
   Decisions::ReplicaPlanInput m_input;
   std::vector<Gateway::ModelId> m_names;
--- a/Source/UnitTests/Orders/CrashArchiveTest.cpp
+++ b/Source/UnitTests/Orders/CrashArchiveTest.cpp
@@ -69,15 +69,15 @@
 class CrashArchiveTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CrashArchiveTest);
-  CPPUNIT_TEST(ADaemonThatStartsKnowsWhatIsBlocked);
-  CPPUNIT_TEST(TheHolderWritesOnlyWhatIsBlocked);
-  CPPUNIT_TEST(WithoutAHolderEndingsAddUpThroughTheRow);
-  CPPUNIT_TEST(WritesAgainWhereTheStoreWasDown);
-  CPPUNIT_TEST(ARowThatCannotBeReadChangesNothing);
+  CPPUNIT_TEST(StartedDaemonReadsBlockedRequests);
+  CPPUNIT_TEST(HolderWritesOnlyWhenBlockedRequestsChange);
+  CPPUNIT_TEST(WithoutAHolderCrashesAddUpThroughTheRow);
+  CPPUNIT_TEST(RetriesTheWriteAfterAStoreFailure);
+  CPPUNIT_TEST(MalformedRowIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
   /// All daemons are killed at once, and the same request is sent to the new ones.
-  void ADaemonThatStartsKnowsWhatIsBlocked()
+  void StartedDaemonReadsBlockedRequests()
   {
     FakeRow row;
     Daemon holder(row);
@@ -89,7 +89,7 @@
     CPPUNIT_ASSERT(started.IsBlocked());
   }
 
-  void TheHolderWritesOnlyWhatIsBlocked()
+  void HolderWritesOnlyWhenBlockedRequestsChange()
   {
     FakeRow row;
     Daemon holder(row);
@@ -105,7 +105,7 @@
     CPPUNIT_ASSERT_EQUAL(1, row.writes);
   }
 
-  void WithoutAHolderEndingsAddUpThroughTheRow()
+  void WithoutAHolderCrashesAddUpThroughTheRow()
   {
     FakeRow row;
     Daemon first(row);
@@ -113,17 +113,17 @@
     first.EndUnder(1);
     first.EndUnder(2);
     second.EndUnder(3);
-    first.archive.Tick(ArchiveRole::Orphan, Common::Now());
+    first.archive.Tick(ArchiveRole::WithoutHolder, Common::Now());
     // `second` has not read the row yet: its write conflicts, which makes it read the row.
-    second.archive.Tick(ArchiveRole::Orphan, Common::Now());
+    second.archive.Tick(ArchiveRole::WithoutHolder, Common::Now());
     CPPUNIT_ASSERT(second.IsBlocked());
     UnitTests::RunFor(Milliseconds(400));
-    second.archive.Tick(ArchiveRole::Orphan, Common::Now());
+    second.archive.Tick(ArchiveRole::WithoutHolder, Common::Now());
     first.archive.OnRow(row.row);
     CPPUNIT_ASSERT(first.IsBlocked());
   }
 
-  void WritesAgainWhereTheStoreWasDown()
+  void RetriesTheWriteAfterAStoreFailure()
   {
     FakeRow row;
     Daemon holder(row);
@@ -139,7 +139,7 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(1), row.row.version);
   }
 
-  void ARowThatCannotBeReadChangesNothing()
+  void MalformedRowIsIgnored()
   {
     FakeRow row;
     Daemon daemon(row);
--- a/Source/UnitTests/Orders/DaemonCountTest.cpp
+++ b/Source/UnitTests/Orders/DaemonCountTest.cpp
@@ -15,45 +15,45 @@
 class DaemonCountTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(DaemonCountTest);
-  CPPUNIT_TEST(FirstWordsAreNotTrustedForSharing);
-  CPPUNIT_TEST(ANewHolderThatHasHeardOfFewChangesNothing);
-  CPPUNIT_TEST(FallsWhenLongNothingHigherWasTold);
-  CPPUNIT_TEST(ManyDaemonsStayWithinTheBudgetWhileTheHolderChanges);
+  CPPUNIT_TEST(InitialCountAppliesUntilAnnouncementsSettle);
+  CPPUNIT_TEST(LowerCountFromANewHolderIsIgnored);
+  CPPUNIT_TEST(CountFallsAfterTheHoldTime);
+  CPPUNIT_TEST(RetryBudgetHoldsWhileTheHolderChanges);
   CPPUNIT_TEST_SUITE_END();
 
   const Common::TimePoint m_start = Common::Now();
 
-  void FirstWordsAreNotTrustedForSharing()
+  void InitialCountAppliesUntilAnnouncementsSettle()
   {
     DaemonCount count;
-    CPPUNIT_ASSERT_EQUAL(DaemonCount::BEFORE_ANY_WORD, count.ForSharing(m_start));
-    count.Tell(2, m_start);
+    CPPUNIT_ASSERT_EQUAL(DaemonCount::INITIAL_DAEMONS, count.ForSharedLimits(m_start));
+    count.Update(2, m_start);
     CPPUNIT_ASSERT_EQUAL(2, count.Get());
-    CPPUNIT_ASSERT_EQUAL(DaemonCount::BEFORE_ANY_WORD, count.ForSharing(m_start));
-    count.Tell(7, m_start + Milliseconds(400));
-    CPPUNIT_ASSERT_EQUAL(7, count.ForSharing(m_start + DaemonCount::SETTLING));
+    CPPUNIT_ASSERT_EQUAL(DaemonCount::INITIAL_DAEMONS, count.ForSharedLimits(m_start));
+    count.Update(7, m_start + Milliseconds(400));
+    CPPUNIT_ASSERT_EQUAL(7, count.ForSharedLimits(m_start + DaemonCount::SETTLE_TIME));
   }
 
-  void ANewHolderThatHasHeardOfFewChangesNothing()
+  void LowerCountFromANewHolderIsIgnored()
   {
     DaemonCount count;
-    count.Tell(79, m_start);
-    count.Tell(1, m_start + Milliseconds(5000));
+    count.Update(79, m_start);
+    count.Update(1, m_start + Milliseconds(5000));
     CPPUNIT_ASSERT_EQUAL(79, count.Get());
-    CPPUNIT_ASSERT_EQUAL(79, count.ForSharing(m_start + Milliseconds(5000)));
+    CPPUNIT_ASSERT_EQUAL(79, count.ForSharedLimits(m_start + Milliseconds(5000)));
   }
 
-  void FallsWhenLongNothingHigherWasTold()
+  void CountFallsAfterTheHoldTime()
   {
     DaemonCount count;
-    count.Tell(79, m_start);
-    count.Tell(40, m_start + DaemonCount::MEMORY + Milliseconds(1));
+    count.Update(79, m_start);
+    count.Update(40, m_start + DaemonCount::HOLD_TIME + Milliseconds(1));
     CPPUNIT_ASSERT_EQUAL(40, count.Get());
   }
 
   /// While the lease holder changes, 79 daemons that use up their retry budgets must stay within
   /// the limit for all of them together.
-  void ManyDaemonsStayWithinTheBudgetWhileTheHolderChanges()
+  void RetryBudgetHoldsWhileTheHolderChanges()
   {
     constexpr int DAEMONS = 79;
     constexpr int REQUESTS_EACH = 40;
@@ -63,14 +63,14 @@
     for (int i = 0; i < DAEMONS; ++i)
     {
       DaemonCount count;
-      count.Tell(DAEMONS, m_start);
+      count.Update(DAEMONS, m_start);
       Gateway::RetryBudget budget;
       budget.Configure(settings);
-      auto now = m_start + DaemonCount::SETTLING;
+      auto now = m_start + DaemonCount::SETTLE_TIME;
       for (int request = 0; request < REQUESTS_EACH; ++request)
         budget.NoteRequest(pool, now);
-      count.Tell(1, now);
-      budget.SetDaemons(count.ForSharing(now));
+      count.Update(1, now);
+      budget.SetDaemons(count.ForSharedLimits(now));
       while (budget.Take(pool, now))
         ++spent;
     }
--- a/Source/UnitTests/Orders/HubTest.cpp
+++ b/Source/UnitTests/Orders/HubTest.cpp
@@ -35,10 +35,10 @@
 public:
   explicit Daemon(const char* name)
       : endpoint(UnitTests::FreeDatagramEndpoint()),
-        desk(dispatcher.Servers(), {}, {}),
-        hub({Common::VmId(name), Common::Incarnation("run"), endpoint}, dispatcher, desk)
+        order_manager(dispatcher.Servers(), {}, {}),
+        hub({Common::VmId(name), Common::Incarnation("run"), endpoint}, dispatcher, order_manager)
   {
-    desk.SetPermission([] {
+    order_manager.SetPermission([] {
       return std::optional(OrderPermit{1, Common::TimePoint::max()});
     });
     TableAccess table;
@@ -88,8 +88,8 @@
       dispatcher.Servers().Put(entry);
     }
     auto configuration = std::make_shared<Configuration>();
-    desk.SetConfiguration(configuration);
-    desk.Plan(Common::Now());
+    order_manager.SetConfiguration(configuration);
+    order_manager.Plan(Common::Now());
   }
 
   Http::Endpoint endpoint;
@@ -99,7 +99,7 @@
   bool relayed = false;
   AskReason reason = AskReason::NoHolder;
   Dispatcher dispatcher{DispatcherSettings{}};
-  OrderDesk desk;
+  OrderManager order_manager;
   Hub hub;
 };
 
@@ -371,7 +371,7 @@
       return holder.hub.Daemons() == 2;
     }));
     // The least important lines are dropped.
-    const auto& loads = holder.desk.Flights().All();
+    const auto& loads = holder.order_manager.InFlightByServer().All();
     CPPUNIT_ASSERT(loads.size() > 500);
     CPPUNIT_ASSERT_EQUAL(2, loads.at(InstanceOf(SERVERS - 1)).in_flight);
   }
--- a/Source/UnitTests/Orders/LeaseKeeperTest.cpp
+++ b/Source/UnitTests/Orders/LeaseManagerTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Orders/LeaseKeeper.h"
+#include "Orders/LeaseManager.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
@@ -69,7 +69,7 @@
   UnitTests::SoonCaller m_soon;
 };
 
-using Keeper = LeaseKeeper<FakeStore>;
+using Manager = LeaseManager<FakeStore>;
 
 LeaseSettings Settings(const char* vm)
 {
@@ -82,57 +82,57 @@
   return settings;
 }
 
-bool Holds(const Keeper& keeper)
+bool Holds(const Manager& manager)
 {
-  return keeper.Holds(Common::Now());
+  return manager.Holds(Common::Now());
 }
 
-class LeaseKeeperTest : public CppUnit::TestFixture
+class LeaseManagerTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(LeaseKeeperTest);
-  CPPUNIT_TEST(TakesAFreeLeaseAndRenewsIt);
-  CPPUNIT_TEST(OnlyOneOfTwoHolds);
-  CPPUNIT_TEST(StopsBeforeItsTimeIsOver);
-  CPPUNIT_TEST(TheNextWaitsOutTheTimeAndThePause);
-  CPPUNIT_TEST(ALostAnswerIsNotAnAcquisition);
-  CPPUNIT_TEST(AfterALostAnswerThePauseIsStillOwed);
-  CPPUNIT_TEST(AReleasedLeaseIsTakenAtOnceButOrdersWait);
-  CPPUNIT_TEST(ALeaseIsGivenBackBehindARenewalOnItsWay);
-  CPPUNIT_TEST(TheHoldersWordShortensTheWaitNeverBelowItsTime);
-  CPPUNIT_TEST(AnAbdicationFreesTheLeaseAtOnceButThePauseIsOwed);
-  CPPUNIT_TEST(AnOlderWordThanTheRowIsIgnored);
-  CPPUNIT_TEST(AnAbdicatedHolderOrdersNoMore);
-  CPPUNIT_TEST(AStoreThatIsOutIsAskedLessAndLess);
-  CPPUNIT_TEST(ARestartedHolderTakesItsOwnLeaseAtOnce);
-  CPPUNIT_TEST(AStoreThatIsLostIsNotWrittenTo);
-  CPPUNIT_TEST(AWeakVmWaitsFromTheReturnOfTheStoreOn);
-  CPPUNIT_TEST(AWeakVmThatLosesItsLeaseLeavesItToOthers);
-  CPPUNIT_TEST(WhereAllVmsAreWeakNobodyWaits);
-  CPPUNIT_TEST(AfterAnOutageTheLastHolderGoesFirst);
+  CPPUNIT_TEST_SUITE(LeaseManagerTest);
+  CPPUNIT_TEST(AcquiresAndRenewsAFreeLease);
+  CPPUNIT_TEST(OnlyOneOfTwoContendersHoldsTheLease);
+  CPPUNIT_TEST(HolderStopsBeforeItsLeaseExpires);
+  CPPUNIT_TEST(NextHolderWaitsForExpiryAndPause);
+  CPPUNIT_TEST(LostAnswerDoesNotAcquireTheLease);
+  CPPUNIT_TEST(PauseIsObservedAfterALostAnswer);
+  CPPUNIT_TEST(ReleasedLeaseIsAcquiredAtOnceButOrdersWait);
+  CPPUNIT_TEST(ReleaseIsWrittenAfterAPendingRenewal);
+  CPPUNIT_TEST(AnnouncementShortensTheWaitNoFurtherThanTheRemainingTime);
+  CPPUNIT_TEST(AbdicationFreesTheLeaseAtOnceButThePauseIsObserved);
+  CPPUNIT_TEST(AnnouncementOlderThanTheRowIsIgnored);
+  CPPUNIT_TEST(NoOrdersAfterAbdication);
+  CPPUNIT_TEST(WritesBackOffWhileTheStoreIsDown);
+  CPPUNIT_TEST(RestartedHolderReacquiresItsLeaseAtOnce);
+  CPPUNIT_TEST(NoWritesWhileTheStoreIsUnreachable);
+  CPPUNIT_TEST(HandicapStartsWhenTheStoreReturns);
+  CPPUNIT_TEST(HandicapAppliesToAWeakVmThatLosesItsLease);
+  CPPUNIT_TEST(NoHandicapIfAllVmsAreEquallyWeak);
+  CPPUNIT_TEST(LastHolderGoesFirstAfterAnOutage);
   CPPUNIT_TEST_SUITE_END();
 
-  void TakesAFreeLeaseAndRenewsIt()
+  void AcquiresAndRenewsAFreeLease()
   {
     FakeStore store;
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(0, std::nullopt);
-    keeper.Start();
+    Manager manager(store, Settings("a"));
+    manager.OnRow(0, std::nullopt);
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
-    CPPUNIT_ASSERT(keeper.MayOrder(Common::Now()));
-    const auto fence = keeper.Fence();
+    CPPUNIT_ASSERT(manager.MaySendOrders(Common::Now()));
+    const auto fence = manager.Fence();
     RunFor(Milliseconds(1500));
-    CPPUNIT_ASSERT(Holds(keeper));
-    CPPUNIT_ASSERT_EQUAL(fence, keeper.Fence());
+    CPPUNIT_ASSERT(Holds(manager));
+    CPPUNIT_ASSERT_EQUAL(fence, manager.Fence());
     CPPUNIT_ASSERT(store.version >= 3);
   }
 
-  void OnlyOneOfTwoHolds()
+  void OnlyOneOfTwoContendersHoldsTheLease()
   {
     FakeStore store;
-    Keeper first(store, Settings("a"));
-    Keeper second(store, Settings("b"));
+    Manager first(store, Settings("a"));
+    Manager second(store, Settings("b"));
     first.OnRow(0, std::nullopt);
     second.OnRow(0, std::nullopt);
     first.Start();
@@ -149,64 +149,64 @@
     }
   }
 
-  void StopsBeforeItsTimeIsOver()
+  void HolderStopsBeforeItsLeaseExpires()
   {
     FakeStore store;
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(0, std::nullopt);
-    keeper.Start();
+    Manager manager(store, Settings("a"));
+    manager.OnRow(0, std::nullopt);
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
     store.down = true;
     const auto begun = Common::Now();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return !Holds(keeper);
+      return !Holds(manager);
     }));
     CPPUNIT_ASSERT(Common::Now() - begun <= Milliseconds(900));
   }
 
-  void TheNextWaitsOutTheTimeAndThePause()
+  void NextHolderWaitsForExpiryAndPause()
   {
     FakeStore store;
     store.version = 5;
     store.record = {Common::VmId("dead"), Common::Incarnation("r"), "127.0.0.1:2"};
-    Keeper keeper(store, Settings("a"));
+    Manager manager(store, Settings("a"));
     const auto begun = Common::Now();
-    keeper.OnRow(5, store.record);
-    keeper.Start();
+    manager.OnRow(5, store.record);
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
     CPPUNIT_ASSERT(Common::Now() - begun >= Milliseconds(900));
-    CPPUNIT_ASSERT(!keeper.MayOrder(Common::Now()));
+    CPPUNIT_ASSERT(!manager.MaySendOrders(Common::Now()));
     const auto held = Common::Now();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return keeper.MayOrder(Common::Now());
+      return manager.MaySendOrders(Common::Now());
     }));
     CPPUNIT_ASSERT(Common::Now() - held >= Milliseconds(250));
   }
 
-  void ALostAnswerIsNotAnAcquisition()
+  void LostAnswerDoesNotAcquireTheLease()
   {
     FakeStore store;
     store.lose_answers = true;
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(0, std::nullopt);
-    keeper.Start();
+    Manager manager(store, Settings("a"));
+    manager.OnRow(0, std::nullopt);
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
       return store.version == 1;
     }));
     RunFor(Milliseconds(100));
-    CPPUNIT_ASSERT(!Holds(keeper));
+    CPPUNIT_ASSERT(!Holds(manager));
     store.lose_answers = false;
-    keeper.OnRow(store.version, store.record);
+    manager.OnRow(store.version, store.record);
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
   }
 
-  void AfterALostAnswerThePauseIsStillOwed()
+  void PauseIsObservedAfterALostAnswer()
   {
     // The previous holder has just released the lease. The write takes effect, but its answer is
     // lost.
@@ -214,28 +214,28 @@
     store.version = 5;
     store.record = {};
     store.lose_answers = true;
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(5, store.record);
-    keeper.Start();
+    Manager manager(store, Settings("a"));
+    manager.OnRow(5, store.record);
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
       return store.version == 6;
     }));
     RunFor(Milliseconds(20));
     store.lose_answers = false;
-    keeper.OnRow(store.version, store.record);
+    manager.OnRow(store.version, store.record);
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
-    CPPUNIT_ASSERT(!keeper.MayOrder(Common::Now()));
+    CPPUNIT_ASSERT(!manager.MaySendOrders(Common::Now()));
     CPPUNIT_ASSERT(RunUntil([&] {
-      return keeper.MayOrder(Common::Now());
+      return manager.MaySendOrders(Common::Now());
     }));
   }
 
-  void AReleasedLeaseIsTakenAtOnceButOrdersWait()
+  void ReleasedLeaseIsAcquiredAtOnceButOrdersWait()
   {
     FakeStore store;
-    Keeper first(store, Settings("a"));
+    Manager first(store, Settings("a"));
     first.OnRow(0, std::nullopt);
     first.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
@@ -246,7 +246,7 @@
     CPPUNIT_ASSERT(RunUntil([&] {
       return store.record.holder.Empty();
     }));
-    Keeper second(store, Settings("b"));
+    Manager second(store, Settings("b"));
     const auto begun = Common::Now();
     second.OnRow(store.version, store.record);
     second.Start();
@@ -254,24 +254,24 @@
       return Holds(second);
     }));
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(700));
-    CPPUNIT_ASSERT(!second.MayOrder(Common::Now()));
+    CPPUNIT_ASSERT(!second.MaySendOrders(Common::Now()));
   }
 
-  void ALeaseIsGivenBackBehindARenewalOnItsWay()
+  void ReleaseIsWrittenAfterAPendingRenewal()
   {
     FakeStore store;
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(0, std::nullopt);
-    keeper.Start();
+    Manager manager(store, Settings("a"));
+    manager.OnRow(0, std::nullopt);
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
     store.hold_answers = true;
     CPPUNIT_ASSERT(RunUntil([&] {
       return store.held.size() == 1;
     }));
-    keeper.Release();
-    CPPUNIT_ASSERT(!Holds(keeper));
+    manager.Release();
+    CPPUNIT_ASSERT(!Holds(manager));
     store.hold_answers = false;
     store.held.front()();
     CPPUNIT_ASSERT(RunUntil([&] {
@@ -279,164 +279,164 @@
     }));
   }
 
-  void TheHoldersWordShortensTheWaitNeverBelowItsTime()
+  void AnnouncementShortensTheWaitNoFurtherThanTheRemainingTime()
   {
     FakeStore store;
     store.version = 5;
     store.record = {Common::VmId("dead"), Common::Incarnation("r"), "127.0.0.1:2"};
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(5, store.record);
+    Manager manager(store, Settings("a"));
+    manager.OnRow(5, store.record);
     const auto begun = Common::Now();
-    keeper.OnHolderWord(5, store.record, Milliseconds(300));
-    keeper.Start();
+    manager.OnHolderAnnouncement(5, store.record, Milliseconds(300));
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
     CPPUNIT_ASSERT(Common::Now() - begun >= Milliseconds(300));
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(1100));
   }
 
-  void AnAbdicationFreesTheLeaseAtOnceButThePauseIsOwed()
+  void AbdicationFreesTheLeaseAtOnceButThePauseIsObserved()
   {
     FakeStore store;
     store.version = 5;
     store.record = {Common::VmId("cut"), Common::Incarnation("r"), "127.0.0.1:2"};
     LeaseSettings settings = Settings("a");
     settings.duration = Milliseconds(5000);
-    Keeper keeper(store, settings);
-    keeper.OnRow(5, store.record);
+    Manager manager(store, settings);
+    manager.OnRow(5, store.record);
     const auto begun = Common::Now();
-    keeper.OnHolderWord(5, store.record, Milliseconds(0));
-    keeper.Start();
+    manager.OnHolderAnnouncement(5, store.record, Milliseconds(0));
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(1000));
-    CPPUNIT_ASSERT(!keeper.MayOrder(Common::Now()));
+    CPPUNIT_ASSERT(!manager.MaySendOrders(Common::Now()));
     const auto held = Common::Now();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return keeper.MayOrder(Common::Now());
+      return manager.MaySendOrders(Common::Now());
     }));
     CPPUNIT_ASSERT(Common::Now() - held >= Milliseconds(250));
   }
 
-  void AnOlderWordThanTheRowIsIgnored()
+  void AnnouncementOlderThanTheRowIsIgnored()
   {
     FakeStore store;
     store.version = 6;
     store.record = {Common::VmId("other"), Common::Incarnation("r"), "127.0.0.1:2"};
     LeaseSettings settings = Settings("a");
     settings.duration = Milliseconds(5000);
-    Keeper keeper(store, settings);
-    keeper.OnRow(6, store.record);
-    keeper.OnHolderWord(5, store.record, Milliseconds(0));
-    keeper.Start();
+    Manager manager(store, settings);
+    manager.OnRow(6, store.record);
+    manager.OnHolderAnnouncement(5, store.record, Milliseconds(0));
+    manager.Start();
     RunFor(Milliseconds(900));
-    CPPUNIT_ASSERT(!Holds(keeper));
+    CPPUNIT_ASSERT(!Holds(manager));
     CPPUNIT_ASSERT_EQUAL(std::int64_t(6), store.version);
   }
 
-  void AnAbdicatedHolderOrdersNoMore()
+  void NoOrdersAfterAbdication()
   {
     FakeStore store;
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(0, std::nullopt);
-    keeper.Start();
+    Manager manager(store, Settings("a"));
+    manager.OnRow(0, std::nullopt);
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return keeper.MayOrder(Common::Now());
+      return manager.MaySendOrders(Common::Now());
     }));
-    const auto fence = keeper.Fence();
+    const auto fence = manager.Fence();
     store.down = true;
-    keeper.Abdicate();
+    manager.Abdicate();
     RunFor(Milliseconds(300));
-    CPPUNIT_ASSERT(!keeper.MayOrder(Common::Now()));
+    CPPUNIT_ASSERT(!manager.MaySendOrders(Common::Now()));
     store.down = false;
     CPPUNIT_ASSERT(RunUntil([&] {
-      return keeper.MayOrder(Common::Now());
+      return manager.MaySendOrders(Common::Now());
     }));
-    CPPUNIT_ASSERT(keeper.Fence() > fence);
+    CPPUNIT_ASSERT(manager.Fence() > fence);
   }
 
-  void AStoreThatIsOutIsAskedLessAndLess()
+  void WritesBackOffWhileTheStoreIsDown()
   {
     FakeStore store;
     store.down = true;
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(0, std::nullopt);
-    keeper.Start();
+    Manager manager(store, Settings("a"));
+    manager.OnRow(0, std::nullopt);
+    manager.Start();
     RunFor(Milliseconds(3000));
     CPPUNIT_ASSERT(store.calls >= 2);
     CPPUNIT_ASSERT(store.calls <= 6);
     store.down = false;
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
   }
 
-  void ARestartedHolderTakesItsOwnLeaseAtOnce()
+  void RestartedHolderReacquiresItsLeaseAtOnce()
   {
     FakeStore store;
     store.version = 5;
     store.record = {Common::VmId("a"), Common::Incarnation("before"), "127.0.0.1:2", true};
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(5, store.record);
+    Manager manager(store, Settings("a"));
+    manager.OnRow(5, store.record);
     const auto begun = Common::Now();
-    keeper.Start();
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return keeper.MayOrder(Common::Now());
+      return manager.MaySendOrders(Common::Now());
     }));
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(500));
-    CPPUNIT_ASSERT(keeper.Fence() > 5);
+    CPPUNIT_ASSERT(manager.Fence() > 5);
   }
 
-  void AStoreThatIsLostIsNotWrittenTo()
+  void NoWritesWhileTheStoreIsUnreachable()
   {
     FakeStore store;
     store.down = true;
-    Keeper keeper(store, Settings("a"));
-    keeper.OnRow(0, std::nullopt);
-    keeper.OnStoreLost();
-    keeper.Start();
+    Manager manager(store, Settings("a"));
+    manager.OnRow(0, std::nullopt);
+    manager.OnStoreLost();
+    manager.Start();
     RunFor(Milliseconds(1500));
     CPPUNIT_ASSERT_EQUAL(0, store.calls);
     store.down = false;
-    keeper.OnStoreBack();
+    manager.OnStoreBack();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
     CPPUNIT_ASSERT_EQUAL(1, store.calls);
   }
 
-  void AWeakVmWaitsFromTheReturnOfTheStoreOn()
+  void HandicapStartsWhenTheStoreReturns()
   {
     // The lease has been free for longer than the handicap when the store returns.
     FakeStore store;
     LeaseSettings settings = Settings("weak");
     settings.handicap = Milliseconds(800);
-    Keeper keeper(store, settings);
-    keeper.OnRow(0, std::nullopt);
-    keeper.OnStoreLost();
-    keeper.Start();
+    Manager manager(store, settings);
+    manager.OnRow(0, std::nullopt);
+    manager.OnStoreLost();
+    manager.Start();
     RunFor(Milliseconds(1500));
-    keeper.OnStoreBack();
+    manager.OnStoreBack();
     RunFor(Milliseconds(700));
     CPPUNIT_ASSERT_EQUAL(0, store.calls);
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
   }
 
-  void AfterAnOutageTheLastHolderGoesFirst()
+  void LastHolderGoesFirstAfterAnOutage()
   {
     // The row names "a", whose lease expired long ago. "b" detects the store's return before "a".
     FakeStore store;
-    Keeper last(store, Settings("a"));
-    Keeper other(store, Settings("b"));
-    for (Keeper* keeper : {&last, &other})
+    Manager last(store, Settings("a"));
+    Manager other(store, Settings("b"));
+    for (Manager* manager : {&last, &other})
     {
-      keeper->OnRow(7,
-                    LeaseRecord{Common::VmId("a"), Common::Incarnation("r"), "10.0.0.1:1", true});
-      keeper->OnStoreLost();
+      manager->OnRow(7,
+                     LeaseRecord{Common::VmId("a"), Common::Incarnation("r"), "10.0.0.1:1", true});
+      manager->OnStoreLost();
     }
     store.version = 7;
     RunFor(Settings("a").duration + Milliseconds(500));
@@ -449,23 +449,23 @@
     CPPUNIT_ASSERT(RunUntil([&] {
       return Holds(last);
     }));
-    CPPUNIT_ASSERT(last.MayOrder(Common::Now()));
+    CPPUNIT_ASSERT(last.MaySendOrders(Common::Now()));
     CPPUNIT_ASSERT(!Holds(other));
   }
 
-  void AWeakVmThatLosesItsLeaseLeavesItToOthers()
+  void HandicapAppliesToAWeakVmThatLosesItsLease()
   {
     FakeStore store;
     LeaseSettings settings = Settings("weak");
     settings.handicap = Milliseconds(600);
-    Keeper keeper(store, settings);
-    keeper.OnRow(0, std::nullopt);
-    keeper.Start();
+    Manager manager(store, settings);
+    manager.OnRow(0, std::nullopt);
+    manager.Start();
     const auto lose = [&] {
       CPPUNIT_ASSERT(RunUntil([&] {
-        return Holds(keeper);
+        return Holds(manager);
       }));
-      keeper.Abdicate();
+      manager.Abdicate();
       return store.calls;
     };
     const int calls = lose();
@@ -476,22 +476,22 @@
     CPPUNIT_ASSERT_EQUAL(calls_after_second, store.calls);
   }
 
-  void WhereAllVmsAreWeakNobodyWaits()
+  void NoHandicapIfAllVmsAreEquallyWeak()
   {
     FakeStore store;
     LeaseSettings settings = Settings("weak");
     settings.handicap = Milliseconds(2000);
-    Keeper keeper(store, settings);
-    keeper.SetContenders(5, Milliseconds(2000));
-    keeper.OnRow(0, std::nullopt);
+    Manager manager(store, settings);
+    manager.SetContenders(5, Milliseconds(2000));
+    manager.OnRow(0, std::nullopt);
     const auto begun = Common::Now();
-    keeper.Start();
+    manager.Start();
     CPPUNIT_ASSERT(RunUntil([&] {
-      return Holds(keeper);
+      return Holds(manager);
     }));
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(1000));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(LeaseKeeperTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(LeaseManagerTest);
 } // namespace
--- a/Source/UnitTests/Orders/NewsWriterTest.cpp
+++ b/Source/UnitTests/Orders/NewsWriterTest.cpp
@@ -114,7 +114,7 @@
     std::uint64_t version = 0;
     for (int piece = 0; piece < 20; ++piece)
     {
-      const PlacementNews news = log.Since(version, 400);
+      const PlacementUpdate news = log.Since(version, 400);
       CPPUNIT_ASSERT_EQUAL(version, news.from);
       told += news.lines.size();
       version = news.to;
@@ -131,7 +131,7 @@
         {{Gateway::InstanceId("s"), {{Gateway::ModelId("m"), Gateway::AdapterId("a")}}, {}}});
     const std::uint64_t before = log.Since(0).to;
     log.Update({});
-    const PlacementNews news = log.Since(before);
+    const PlacementUpdate news = log.Since(before);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), news.lines.size());
     CPPUNIT_ASSERT(news.lines[0].adapters.empty());
     log.Update({});
--- a/Source/UnitTests/Orders/PlanBookTest.cpp
+++ b/Source/UnitTests/Orders/PlanInputBuilderTest.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Orders/PlanBook.h"
+#include "Orders/PlanInputBuilder.h"
 
 #include <memory>
 #include <string>
@@ -22,10 +22,10 @@
 
 /// Planner input for a pool with two servers: the first always has an order in progress and has the
 /// weights of "wanted" on disk, the second is idle.
-class World
+class PlanFixture
 {
 public:
-  World()
+  PlanFixture()
   {
     Gateway::Pool pool;
     pool.id = Gateway::PoolId("p");
@@ -35,31 +35,31 @@
     for (const char* name : {"wanted", "other"})
       engine.models[ModelId(name)] = {ModelId(name), 70, FROM_STORE, FROM_DISK, FROM_DISK, 0, 1};
     pool.engine = engine;
-    book.Configure(pool);
-    book.SetServers({MakeServer("busy", true), MakeServer("idle", false)}, m_flights);
+    builder.Configure(pool);
+    builder.SetServers({MakeServer("busy", true), MakeServer("idle", false)}, m_in_flight_totals);
     for (const auto server : {BUSY, IDLE})
-      book.SetHeld(server, {});
-    book.SetState(BUSY, {true, true, std::nullopt});
+      builder.SetHeld(server, {});
+    builder.SetState(BUSY, {true, true, std::nullopt});
   }
 
   /// Reports one request that has waited for `waited`, from a different daemon each time.
-  void Ask(Milliseconds waited, Common::TimePoint now)
+  void ReportWaiting(Milliseconds waited, Common::TimePoint now)
   {
     const Common::VmId daemon("vm-" + std::to_string(m_daemons++));
-    book.TakeDemand(
+    builder.ApplyDemand(
         daemon, {{Gateway::PoolId("p"), {ModelId("wanted"), {}}, 1, 0, waited.count(), 1}}, now);
     if (m_daemons > 1)
-      book.DropDaemon(Common::VmId("vm-" + std::to_string(m_daemons - 2)));
+      builder.DropDaemon(Common::VmId("vm-" + std::to_string(m_daemons - 2)));
   }
 
   Decisions::ReplicaPlan Plan(Common::TimePoint now)
   {
-    return Decisions::PlanReplicas(book.Input(now, 1));
+    return Decisions::PlanReplicas(builder.Input(now, 1));
   }
 
   static constexpr Decisions::ServerIndex BUSY{0};
   static constexpr Decisions::ServerIndex IDLE{1};
-  PlanBook book;
+  PlanInputBuilder builder;
 
 private:
   static Gateway::ServerPtr MakeServer(const char* name, bool has_copy)
@@ -72,47 +72,47 @@
     return std::make_shared<Gateway::Server>(entry);
   }
 
-  FlightBook m_flights;
+  InFlightTotals m_in_flight_totals;
   int m_daemons = 0;
 };
 
-class PlanBookTest : public CppUnit::TestFixture
+class PlanInputBuilderTest : public CppUnit::TestFixture
 {
-  CPPUNIT_TEST_SUITE(PlanBookTest);
-  CPPUNIT_TEST(AModelWaitsAsLongAsItsCallersAskInVain);
-  CPPUNIT_TEST(AModelThatNobodyAsksForAnyMoreWaitsAnew);
+  CPPUNIT_TEST_SUITE(PlanInputBuilderTest);
+  CPPUNIT_TEST(UnservedTimeSpansSuccessiveRequests);
+  CPPUNIT_TEST(UnservedTimeRestartsAfterAGapInDemand);
   CPPUNIT_TEST_SUITE_END();
 
   /// A model was never served although 30 to 72 requests were waiting for it at any time. The only
   /// server with a copy of its weights was always busy with other orders, and clients gave up after
   /// 1.7 s while others arrived at other daemons. The load from the weight store was triggered by
   /// the age of the oldest request, which never exceeded 1.7 of the required 5.5 s.
-  void AModelWaitsAsLongAsItsCallersAskInVain()
+  void UnservedTimeSpansSuccessiveRequests()
   {
-    World world;
+    PlanFixture fixture;
     const Milliseconds limit = FROM_STORE - FROM_DISK;
     for (Milliseconds at(0); at < limit; at += Milliseconds(250))
     {
-      world.Ask(Milliseconds(at.count() % 1700), START + at);
-      CPPUNIT_ASSERT(world.Plan(START + at).orders.empty());
+      fixture.ReportWaiting(Milliseconds(at.count() % 1700), START + at);
+      CPPUNIT_ASSERT(fixture.Plan(START + at).orders.empty());
     }
-    world.Ask(Milliseconds(100), START + limit);
-    const auto orders = world.Plan(START + limit).orders;
+    fixture.ReportWaiting(Milliseconds(100), START + limit);
+    const auto orders = fixture.Plan(START + limit).orders;
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), orders.size());
-    CPPUNIT_ASSERT(orders[0].server == World::IDLE);
+    CPPUNIT_ASSERT(orders[0].server == PlanFixture::IDLE);
     CPPUNIT_ASSERT(orders[0].source == Decisions::WeightSource::WeightStore);
   }
 
-  void AModelThatNobodyAsksForAnyMoreWaitsAnew()
+  void UnservedTimeRestartsAfterAGapInDemand()
   {
-    World world;
-    world.Ask(Milliseconds(100), START);
-    world.Plan(START);
+    PlanFixture fixture;
+    fixture.ReportWaiting(Milliseconds(100), START);
+    fixture.Plan(START);
     const auto later = START + std::chrono::minutes(1);
-    world.Ask(Milliseconds(100), later);
-    CPPUNIT_ASSERT(world.Plan(later).orders.empty());
+    fixture.ReportWaiting(Milliseconds(100), later);
+    CPPUNIT_ASSERT(fixture.Plan(later).orders.empty());
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(PlanBookTest);
+CPPUNIT_TEST_SUITE_REGISTRATION(PlanInputBuilderTest);
 } // namespace
--- a/Source/UnitTests/Orders/ServerBackoffTest.cpp
+++ b/Source/UnitTests/Orders/ServerBackoffTest.cpp
@@ -16,17 +16,17 @@
 
 constexpr std::size_t VMS = 5;
 /// Requests already in transit may still arrive for this long after the rejection.
-constexpr Milliseconds LEEWAY{500};
-constexpr std::size_t ALLOWED = 2;
+constexpr Milliseconds TRANSIT_TIME{500};
+constexpr std::size_t MAX_VIOLATIONS = 2;
 
 class ServerBackoffTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ServerBackoffTest);
-  CPPUNIT_TEST(AServerThatNamesARetryAfterIsLeftAloneUntilThen);
-  CPPUNIT_TEST(WhoCannotOutwaitTheOnlyServersBackoffIsRefusedAtOnce);
+  CPPUNIT_TEST(ServerGetsNoRequestsUntilRetryAfterHasPassed);
+  CPPUNIT_TEST(RequestIsRefusedAtOnceIfTheOnlyServerBacksOffTooLong);
   CPPUNIT_TEST_SUITE_END();
 
-  void AServerThatNamesARetryAfterIsLeftAloneUntilThen()
+  void ServerGetsNoRequestsUntilRetryAfterHasPassed()
   {
     LimitedFleet fleet(VMS, 4);
     fleet.SetHolder(0, 1);
@@ -35,9 +35,10 @@
     fleet.servers[0]->Reject("2");
     fleet.servers[1]->Reject("1.5");
     RunFor(Milliseconds(5000));
-    const auto worst = std::max(fleet.servers[0]->WorstBackoff(VMS, Milliseconds(2000), LEEWAY),
-                                fleet.servers[1]->WorstBackoff(VMS, Milliseconds(1500), LEEWAY));
-    CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst <= ALLOWED);
+    const auto worst =
+        std::max(fleet.servers[0]->WorstBackoff(VMS, Milliseconds(2000), TRANSIT_TIME),
+                 fleet.servers[1]->WorstBackoff(VMS, Milliseconds(1500), TRANSIT_TIME));
+    CPPUNIT_ASSERT_MESSAGE(std::to_string(worst), worst <= MAX_VIOLATIONS);
     // The other servers have enough capacity, and both servers get requests again soon afterwards.
     fleet.servers[0]->Accept();
     fleet.servers[1]->Accept();
@@ -51,7 +52,7 @@
     CPPUNIT_ASSERT(fleet.served >= fleet.asked * 98 / 100);
   }
 
-  void WhoCannotOutwaitTheOnlyServersBackoffIsRefusedAtOnce()
+  void RequestIsRefusedAtOnceIfTheOnlyServerBacksOffTooLong()
   {
     LimitedFleet fleet(VMS, 1);
     fleet.SetHolder(0, 1);
--- a/Source/UnitTests/Orders/ServerDrainTest.cpp
+++ b/Source/UnitTests/Orders/ServerDrainTest.cpp
@@ -17,26 +17,26 @@
 constexpr std::size_t VMS = 5;
 /// A daemon must send its last request within this time after a response that announced the
 /// shutdown.
-constexpr Milliseconds BOUND{2000};
+constexpr Milliseconds MAX_SEND_DELAY{2000};
 
 class ServerDrainTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ServerDrainTest);
-  CPPUNIT_TEST(AServerThatAnnouncesItsEndGetsNoRequestsAfterTheBound);
-  CPPUNIT_TEST(WithoutAHolderEachDaemonGoesByItsOwnAnswers);
-  CPPUNIT_TEST(AllDaemonsAvoidItSoonAfterOneWasTold);
+  CPPUNIT_TEST(DrainingServerGetsNoRequestsAfterTheMaximumDelay);
+  CPPUNIT_TEST(WithoutAHolderEachDaemonUsesItsOwnResponses);
+  CPPUNIT_TEST(DrainIsSharedWithAllDaemons);
   CPPUNIT_TEST_SUITE_END();
 
   static std::size_t LateArrivals(const LimitedFleet& fleet, std::size_t server)
   {
     std::size_t late = 0;
     for (std::size_t vm = 0; vm < VMS; ++vm)
-      if (const auto told = fleet.servers[server]->AnnouncedTo(vm, VMS))
-        late += fleet.servers[server]->ArrivalsOf(vm, VMS, *told + BOUND);
+      if (const auto notified_at = fleet.servers[server]->AnnouncedTo(vm, VMS))
+        late += fleet.servers[server]->ArrivalsOf(vm, VMS, *notified_at + MAX_SEND_DELAY);
     return late;
   }
 
-  void AServerThatAnnouncesItsEndGetsNoRequestsAfterTheBound()
+  void DrainingServerGetsNoRequestsAfterTheMaximumDelay()
   {
     LimitedFleet fleet(VMS, 4);
     fleet.SetHolder(0, 1);
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT(fleet.served >= fleet.asked * 98 / 100);
   }
 
-  void WithoutAHolderEachDaemonGoesByItsOwnAnswers()
+  void WithoutAHolderEachDaemonUsesItsOwnResponses()
   {
     LimitedFleet fleet(VMS, 4);
     fleet.StartLoad(80);
@@ -62,23 +62,24 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, LateArrivals(fleet, 0));
   }
 
-  void AllDaemonsAvoidItSoonAfterOneWasTold()
+  void DrainIsSharedWithAllDaemons()
   {
     LimitedFleet fleet(VMS, 4);
     fleet.SetHolder(0, 1);
     fleet.servers[0]->SetDraining("1");
-    constexpr std::size_t TOLD_VM = 3;
-    for (std::size_t number = TOLD_VM; !fleet.servers[0]->AnnouncedTo(TOLD_VM, VMS); number += VMS)
+    constexpr std::size_t INFORMED_VM = 3;
+    for (std::size_t number = INFORMED_VM; !fleet.servers[0]->AnnouncedTo(INFORMED_VM, VMS);
+         number += VMS)
     {
-      fleet.vms[TOLD_VM]->Ask("r" + std::to_string(number), [](int) {});
+      fleet.vms[INFORMED_VM]->Ask("r" + std::to_string(number), [](int) {});
       RunFor(Milliseconds(20));
     }
     RunFor(Milliseconds(700));
-    const auto told = Common::Now();
+    const auto notified_at = Common::Now();
     fleet.StartLoad(80);
     RunFor(Milliseconds(1500));
     fleet.StopLoad();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.servers[0]->ArrivalsSince(told));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.servers[0]->ArrivalsSince(notified_at));
   }
 };
 
--- a/Source/UnitTests/Support/LimitedFleet.cpp
+++ b/Source/UnitTests/Support/LimitedFleet.cpp
@@ -110,8 +110,8 @@
     : hub_endpoint(FreeDatagramEndpoint()),
       dispatcher(DispatcherSettings{
           Common::DataCentreId("here"), Names(), {0.2, 100, Milliseconds(10000)}}),
-      desk(dispatcher.Servers(), {}, {}),
-      hub({Common::VmId(name), Common::Incarnation("run"), hub_endpoint}, dispatcher, desk)
+      order_manager(dispatcher.Servers(), {}, {}),
+      hub({Common::VmId(name), Common::Incarnation("run"), hub_endpoint}, dispatcher, order_manager)
 {
   dispatcher.SetConfiguration(OnePlainRoute());
   const auto listening = m_listener.Listen(Http::Endpoint{htonl(INADDR_LOOPBACK), 0},
--- a/Source/UnitTests/Support/LimitedFleet.h
+++ b/Source/UnitTests/Support/LimitedFleet.h
@@ -13,7 +13,7 @@
 #include "Gateway/Dispatcher.h"
 #include "Http/Channel.h"
 #include "Orders/Hub.h"
-#include "Orders/OrderDesk.h"
+#include "Orders/OrderManager.h"
 #include "UnitTests/Support/Loopback.h"
 #include "UnitTests/Support/RelayWorld.h"
 
@@ -78,7 +78,7 @@
 
   Http::Endpoint hub_endpoint;
   Gateway::Dispatcher dispatcher;
-  Orders::OrderDesk desk;
+  Orders::OrderManager order_manager;
   Orders::Hub hub;
 
 private:
