--- a/Source/Core/Orders/Coordination.h
+++ b/Source/Core/Orders/Coordination.h
@@ -268,7 +268,7 @@
     return is_orphan ? ArchiveRole::WithoutHolder : ArchiveRole::Reader;
   }
 
-  /// Updates the hub and the order desk after a possible change of the lease holder.
+  /// Updates the hub and the order manager after a possible change of the lease holder.
   void Follow()
   {
     const bool holds = !m_stopped && m_lease.Holds(Common::Now());
