--- a/Source/Core/Accounts/LocalAllowances.h
+++ b/Source/Core/Accounts/LocalAllowances.h
@@ -52,8 +52,8 @@
   /// later time than the previous one, so that they do not all return together.
   Common::Milliseconds RetryDelay(const Account& account, double cost, Common::TimePoint now);
 
-  /// The tenure whose grants the report counts. A allocator with another tenure has granted none of
-  /// them.
+  /// The tenure whose grants the report counts. An allocator with another tenure has granted none
+  /// of them.
   std::int64_t Tenure() const { return m_tenure; }
   std::vector<AllowanceLine> Report(Common::TimePoint now);
   /// Applies grants of an allocator; those of older tenures and duplicates have no effect.
