--- a/Source/Core/Crashes/CrashLedger.cpp
+++ b/Source/Core/Crashes/CrashLedger.cpp
@@ -34,7 +34,7 @@
   return std::max<std::int64_t>(std::chrono::floor<Milliseconds>(now - moment).count(), 0);
 }
 
-std::size_t BytesOf(const CaseLine& line)
+std::size_t EncodedSizeBound(const CaseLine& line)
 {
   std::size_t bytes = CASE_BYTES;
   for (const CrashLine& crash : line.server_crashes)
@@ -283,7 +283,7 @@
   for (const auto& [revision, found] : changed)
   {
     CaseLine line = ToCaseLine(*found.first, *found.second, now);
-    bytes += BytesOf(line);
+    bytes += EncodedSizeBound(line);
     if (bytes > max_bytes)
     {
       update.to = revision - 1;
--- a/Source/Core/Orders/LeaseManager.h
+++ b/Source/Core/Orders/LeaseManager.h
@@ -141,7 +141,7 @@
   void SetContenders(int daemons, Common::Milliseconds least_handicap)
   {
     m_contenders = static_cast<std::uint64_t>(std::max(daemons, 1));
-    m_least_handicap = least_handicap;
+    m_min_handicap = least_handicap;
   }
 
   /// Releases the lease, so that the next holder need not wait for it to expire.
@@ -225,7 +225,7 @@
     const bool loses_repeatedly = m_losses > 1 && now - m_lost_at < LOSS_WINDOW;
     // If all VMs are equally weak, none has to wait.
     const auto relative_handicap =
-        std::max(m_settings.handicap - m_least_handicap, Common::Milliseconds(0));
+        std::max(m_settings.handicap - m_min_handicap, Common::Milliseconds(0));
     const auto handicap =
         loses_repeatedly ? m_settings.handicap * LOSS_HANDICAP_FACTOR : relative_handicap;
     if (IsOwnLease())
@@ -338,7 +338,7 @@
   Common::TimePoint m_retry_at;
   Common::TimePoint m_reserved_until; ///< Until then the lease is reserved for its last holder.
   std::uint64_t m_contenders = 1;
-  Common::Milliseconds m_least_handicap{0};
+  Common::Milliseconds m_min_handicap{0};
   bool m_writing = false;
   bool m_released = false;
   bool m_store_lost = false;
--- a/Source/UnitTests/Orders/OrderManagerTest.cpp
+++ b/Source/UnitTests/Orders/OrderManagerTest.cpp
@@ -442,7 +442,7 @@
     bool announced = false;
     fixture.order_manager.OnPlacementChange([&] {
       for (const PlacementLine& line : fixture.order_manager.Placements())
-        announced = announced || (!line.leaving.empty() && fixture.calls.empty());
+        announced = announced || (!line.unloading.empty() && fixture.calls.empty());
     });
     fixture.Demand("c");
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
