--- a/Source/Core/Serving/ClaimLedger.cpp
+++ b/Source/Core/Serving/ClaimLedger.cpp
@@ -24,7 +24,7 @@
   if (!outcome)
     return outcome.Reason();
   if (!outcome->committed)
-    return {FailureKind::Conflict, "another row of the transaction has changed"};
+    return {FailureKind::Conflict, "another row of the transaction was changed concurrently"};
   return Done{};
 }
 
@@ -51,7 +51,7 @@
   const auto stored = co_await m_store.ReadOne(ServerKey(m_server));
   if (!stored)
     co_return stored.Reason();
-  // A slow read must not bring back a row that a commit has replaced meanwhile.
+  // A slow read must not overwrite the result of a commit that completed in the meantime.
   if (m_known && stored->version < m_version)
     co_return Done{};
   co_return Adopt(*stored);
@@ -95,6 +95,7 @@
     if (!adopted)
       co_return adopted.Reason();
   }
-  co_return Failure{FailureKind::Conflict, "the row of " + m_server.Get() + " keeps changing"};
+  co_return Failure{FailureKind::Conflict,
+                    "the row of " + m_server.Get() + " was changed concurrently too often"};
 }
 } // namespace Serving
--- a/Source/Core/Serving/ClaimLedger.h
+++ b/Source/Core/Serving/ClaimLedger.h
@@ -12,15 +12,17 @@
 
 namespace Serving
 {
-/// A commit that lost a compare-and-set, as a failure for callers that expect none.
+/// Converts a commit that lost a compare-and-set into a failure, for callers that do not handle
+/// conflicts themselves.
 Common::Result<Common::Done> AsDone(const Common::Result<Platform::CommitOutcome>& outcome);
 
-/// The claims of one backend server, kept in the platform. Each change is a compare-and-set of the
-/// server's row; this daemon's changes go one after another.
+/// The claims of one backend server, stored in the platform. Each change is a compare-and-set of
+/// the server's row; the changes of this daemon are serialized by a mutex.
 class ClaimLedger
 {
 public:
-  /// Edits a copy of the row and adds what else the transaction needs. A failure abandons it.
+  /// Edits a copy of the row and adds further conditions and writes to the transaction. If it
+  /// returns a failure, nothing is committed.
   using Edit = std::function<std::optional<Common::Failure>(ServerRow&, Platform::Transaction&)>;
 
   ClaimLedger(Platform::Store& store, Common::VmId server);
@@ -28,14 +30,15 @@
   bool IsKnown() const { return m_known; }
   const ServerRow& Row() const { return m_row; }
   std::int64_t Version() const { return m_version; }
-  /// When this daemon learnt the present version of the row.
+  /// When this daemon read or wrote the current version of the row.
   Common::TimePoint AdoptedAt() const { return m_adopted_at; }
 
-  /// Reads the row again.
+  /// Reads the row from the platform; an older version does not replace a newer one.
   Common::Task<Common::Result<Common::Done>> Refresh();
 
-  /// Commits the edit against the row as it is. Where the row has moved on, it is read again and
-  /// edited anew. The outcome may name conflicts on the other keys of the transaction.
+  /// Commits the edit against the known version of the row. If the row has changed in between, the
+  /// edit is retried on the new version, at most five times. The outcome may contain conflicts on
+  /// the other keys of the transaction.
   Common::Task<Common::Result<Platform::CommitOutcome>> Update(Edit edit,
                                                                Common::TimePoint deadline);
 
--- a/Source/Core/Serving/Environment.h
+++ b/Source/Core/Serving/Environment.h
@@ -15,25 +15,25 @@
 
 namespace Serving
 {
-/// Times that the serving parts go by; see docs/OPERATIONS.md for their flags.
+/// Intervals and timeouts of the serving components; see docs/OPERATIONS.md for their flags.
 struct Timing
 {
   Common::Milliseconds report_interval{300};
   Common::Milliseconds order_timeout{120000};
-  /// How long an engine that ignores fencing numbers must answer without the artifact before an
-  /// order of unknown outcome counts as dead. Longer than the kernel keeps an order that was not
-  /// acknowledged (Http/Client.cpp), twice.
+  /// How long an engine that ignores fencing numbers must report the artifact as absent before an
+  /// order of unknown outcome is considered lost. More than twice the time for which the kernel
+  /// retransmits an unacknowledged order (Http/Client.cpp).
   Common::Milliseconds order_settle{20000};
-  /// After a longer pause between claim and order the claim is validated again.
+  /// If more time than this passes between claim and order, the claim is validated again.
   Common::Milliseconds freeze_limit{1000};
   Common::Milliseconds claim_timeout{3000};
-  /// An artifact is not evicted for another before it has been idle for so long.
+  /// Minimum idle time of an artifact before it may be evicted for another one.
   Common::Milliseconds min_idle{500};
-  /// The longest time by which the platform's list is late.
+  /// Maximum delay of the platform's VM list.
   Common::Milliseconds list_lag{30000};
 };
 
-/// What the parts of one daemon share. All live as long as the process.
+/// Components shared within one daemon. All of them live as long as the process.
 struct Environment
 {
   Platform::Store& store;
@@ -50,16 +50,18 @@
   const Common::DataCentreId& DataCentre() const { return membership.Self().data_centre; }
 };
 
-/// The daemon that keeps a backend server: by hashing over the live ones of its data centre.
+/// Returns the daemon that manages a backend server, chosen by rendezvous hashing over the live
+/// daemons of the server's data centre.
 std::optional<Common::VmId> KeeperOf(const Environment& environment,
                                      const Table::BackendServer& server);
-/// The daemon of this data centre that decides the loads of an artifact.
+/// Returns the daemon of this data centre that decides on the loads of an artifact, chosen by
+/// rendezvous hashing.
 std::optional<Common::VmId> HomeOf(const Environment& environment,
                                    const Common::ArtifactId& artifact);
 /// Whether the server may get new work: it is ready, not leaving, and its data centre is this one
-/// or has a daemon that is heard of. A data centre of which nothing is heard is cut off.
+/// or has a live daemon. A data centre without live daemons is considered unreachable.
 bool TakesWork(const Environment& environment, const Common::VmId& server);
-/// Whether work for the artifact may be sent to the server.
+/// Whether requests for the artifact may be sent to the server.
 bool IsServing(const Environment& environment, const Common::VmId& server,
                const Common::ArtifactId& artifact);
 } // namespace Serving
--- a/Source/Core/Serving/ExplainRing.h
+++ b/Source/Core/Serving/ExplainRing.h
@@ -11,13 +11,13 @@
 
 namespace Serving
 {
-/// The last decisions of this daemon, for `drumpond explain`.
+/// Ring buffer of the most recent decisions of this daemon, for `drumpond explain`.
 class ExplainRing
 {
 public:
-  /// `keys`: the request, artifact and server that the decision is about.
+  /// Records a decision. `keys` are the ids of the request, artifact and server it concerns.
   void Add(std::string_view decision, const std::vector<std::string>& keys, Common::Json figures);
-  /// All that concerns `key`, oldest first.
+  /// Returns all recorded decisions that concern `key`, oldest first.
   Common::Json Find(const std::string& key) const;
 
 private:
--- a/Source/Core/Serving/Keeper.cpp
+++ b/Source/Core/Serving/Keeper.cpp
@@ -15,14 +15,14 @@
 using Daemons::PlaceReply;
 using Daemons::ServerStatus;
 
-/// Load figures alone are told to the other daemons at most so often, and the rarer the more of
-/// them would pull.
+/// Minimum time between two announcements in which only load figures have changed. It grows with
+/// the number of daemons, since each of them pulls the statuses after an announcement.
 constexpr Milliseconds LOAD_NEWS_INTERVAL{1000};
 constexpr Milliseconds LOAD_NEWS_SHARE{200};
-/// Below so many requests a change of a server's load is no news.
+/// A smaller change in the number of running requests of a server is not announced.
 constexpr std::int64_t LOAD_STEP = 4;
 
-/// Whether the difference decides where a request may go at all.
+/// Whether the difference affects which servers are eligible for a request.
 bool DiffersInKind(const ServerStatus& left, const ServerStatus& right)
 {
   const auto same_replica = [](const auto& a, const auto& b) {
@@ -33,8 +33,8 @@
          !std::ranges::equal(left.replicas, right.replicas, same_replica);
 }
 
-/// Whether the load differs so that a decision might too. Time spent idle is no news: it goes on by
-/// itself, and whoever knows a status counts it on.
+/// Whether the load differs enough to change a decision. Idle time is ignored: receivers of a
+/// status extrapolate it themselves (ServerBoard::IdleTime).
 bool DiffersInLoad(const ServerStatus& left, const ServerStatus& right)
 {
   const auto same_use = [](const auto& a, const auto& b) {
@@ -82,14 +82,14 @@
   });
   auto live = m_environment.membership.LiveEverywhere(Common::Now());
   const auto catalog = m_environment.table.Share();
-  // Hashing all servers over all daemons is worth it only where one of them has changed.
+  // Hashing all servers over all daemons is expensive, so skip it if neither set has changed.
   if (live == m_live && catalog == m_catalog)
     return;
   m_live = std::move(live);
   m_catalog = catalog;
   for (const auto& [vm, server] : catalog->BackendServers())
   {
-    // Plain services have no engine to keep.
+    // Servers of plain services have no engine to manage.
     const std::string& pool = server.pool;
     const bool has_models = std::ranges::any_of(catalog->Artifacts(), [&pool](const auto& item) {
       return item.second.pool == pool;
@@ -128,7 +128,7 @@
   }
   PlaceReply reply;
   reply.failure = Common::FailureKind::NotSent;
-  reply.detail = "this daemon does not keep " + order.server.Get();
+  reply.detail = "this daemon does not manage " + order.server.Get();
   co_return reply;
 }
 
--- a/Source/Core/Serving/Keeper.h
+++ b/Source/Core/Serving/Keeper.h
@@ -10,20 +10,21 @@
 
 namespace Serving
 {
-/// The backend servers that hashing gives to this daemon. A change of the table or of the live
-/// daemons moves them; what this daemon ordered itself it still settles.
+/// Manages the backend servers that rendezvous hashing assigns to this daemon. The assignment
+/// changes with the table and with the set of live daemons. After a server has been reassigned,
+/// this daemon still resolves the orders that it sent itself.
 class Keeper
 {
 public:
   explicit Keeper(Environment& environment);
 
-  /// Compares the table and the membership with what is watched. Cheap; called on each change and
-  /// periodically.
+  /// Starts and retires watches according to the table and the membership. Called on each change
+  /// and periodically; cheap if neither has changed.
   void Rebalance();
 
   Common::Task<Daemons::PlaceReply> Place(Daemons::PlaceOrder order);
 
-  /// The statuses of the servers kept here, and their version for the heartbeat.
+  /// Returns the statuses of the servers managed here, and their version for the heartbeat.
   Daemons::StatusReply Statuses();
   bool Keeps(const Common::VmId& server) const;
 
@@ -32,11 +33,11 @@
 
   Environment& m_environment;
   std::map<Common::VmId, std::shared_ptr<ServerWatch>> m_watches;
-  /// What the present roles were computed from.
+  /// Live daemons and table that the current assignment was computed from.
   std::vector<Common::VmId> m_live;
   std::shared_ptr<const Table::Catalog> m_catalog;
   Daemons::StatusReply m_last;
-  /// The statuses of the last version that the heartbeat told.
+  /// The statuses at the last increment of the version in the heartbeat.
   std::vector<Daemons::ServerStatus> m_announced;
   Common::TimePoint m_last_bump;
 };
--- a/Source/Core/Serving/LoadPacer.cpp
+++ b/Source/Core/Serving/LoadPacer.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::int64_t DEFAULT_AT_ONCE = 4;
 constexpr std::int64_t DEFAULT_STARTS_PER_SECOND = 3;
-/// A permit that was never returned (its daemon died) is taken back after this time.
+/// A permit that is not returned, for example because its daemon crashed, expires after this time.
 constexpr std::chrono::minutes PERMIT_LIFETIME{2};
 } // namespace
 
--- a/Source/Core/Serving/LoadPacer.h
+++ b/Source/Core/Serving/LoadPacer.h
@@ -12,9 +12,11 @@
 
 namespace Serving
 {
-/// Gives the turns at the weight store: so many loads at once as run at full speed, and so many
-/// starts a second as it allows. Hashing makes one daemon the pacer of all; two of them at once
-/// (regions cut off from each other) only make loads slower, never wrong.
+/// Grants permits for loads from the weight store. Limits the number of concurrent loads, so that
+/// each runs at full speed, and the number of starts per second to what the store allows.
+/// Rendezvous hashing picks one daemon that grants the permits for all daemons. Two at once, during
+/// a network partition between regions, only slow the loads down; correctness does not depend on
+/// it.
 class LoadPacer
 {
 public:
--- a/Source/Core/Serving/ModelHome.cpp
+++ b/Source/Core/Serving/ModelHome.cpp
@@ -82,8 +82,8 @@
     const auto reply = co_await shared->WaitUntil(deadline);
     if (reply)
       co_return *reply;
-    co_return Refuse(FailureKind::DeadlineUnmeetable, "the load does not end in time",
-                     RETRY_AFTER_MEMORY_MS);
+    co_return Refuse(FailureKind::DeadlineUnmeetable,
+                     "the load did not complete before the deadline", RETRY_AFTER_MEMORY_MS);
   }
   const auto shared = std::make_shared<Shared>();
   m_deciding[request.artifact] = shared;
@@ -148,7 +148,8 @@
     Decisions::PlacementCandidate candidate;
     candidate.server = vm;
     candidate.local = server.data_centre == m_environment.DataCentre();
-    // The placement compares with the artifact's own memory; a missing base lessens the room.
+    // The placement policy compares the free memory with the artifact's own size, so the memory for
+    // a missing base is subtracted here.
     candidate.free =
         status.capacity - status.claimed - (MemoryNeeded(artifact, status) - artifact.memory);
     candidate.cache = LevelOf(status, artifact.id);
@@ -211,9 +212,9 @@
   int attempts = 0;
   while (attempts < MAX_PLACEMENTS && Now() < deadline)
   {
-    // Without the platform nothing can be claimed: say so at once instead of waiting for it.
+    // Claims need the platform, so fail immediately while it is down.
     if (m_environment.store.IsDown())
-      co_return Refuse(FailureKind::Unavailable, "the platform does not answer",
+      co_return Refuse(FailureKind::Unavailable, "the platform does not respond",
                        RETRY_AFTER_PLATFORM_MS);
     const auto candidates = Candidates(artifact);
     const auto placement = std::visit(
@@ -256,9 +257,10 @@
     const auto* reply = answer ? std::get_if<PlaceReply>(&*answer) : nullptr;
     if (!reply)
     {
-      // The keeper may have claimed before it was lost; the board or a conflict will tell.
+      // The daemon may have committed the claim before contact was lost. This shows up in the
+      // server board or as a conflict of the next attempt.
       placed.failure = FailureKind::Unavailable;
-      placed.detail = "the keeper of " + placement->server.Get() + " does not answer";
+      placed.detail = "the daemon that manages " + placement->server.Get() + " does not respond";
       co_await Common::Sleep{RETRY_PAUSE};
       continue;
     }
@@ -269,8 +271,8 @@
       co_return co_await WaitForReplica(artifact.id, placed.holders, deadline);
     if (placed.failure == FailureKind::DeadlineUnmeetable)
       break;
-    // The server has no room at this moment, as the keeper knows better than the board: that is
-    // waited for like any lack of room, and is no failed placement.
+    // The server is out of memory according to the daemon that manages it, which has newer data
+    // than the board. Retry as for any lack of memory, without counting a failed placement.
     if (placed.failure == FailureKind::Overloaded)
       --attempts;
     co_await Common::Sleep{RETRY_PAUSE};
@@ -280,7 +282,8 @@
   co_return Refuse(placed.failure, placed.detail, RETRY_AFTER_MEMORY_MS);
 }
 
-/// All slots are claimed: one of their holders will serve it, here or in another data centre.
+/// Waits until one of the servers with a claim on the artifact serves it, in this or another data
+/// centre. Called if no further slot can or needs to be claimed.
 Task<LoadReply> ModelHome::WaitForReplica(ArtifactId artifact, std::vector<VmId> servers,
                                           TimePoint deadline)
 {
@@ -291,7 +294,7 @@
     });
     if (serving != servers.end())
       co_return ServedBy(*serving);
-    // The claims may be freed again: then there is nothing to wait for.
+    // The claims may have been released, in which case there is nothing to wait for.
     const bool claimed = !m_environment.board.With(artifact, ReplicaState::Ordered).empty() ||
                          !m_environment.board.With(artifact, ReplicaState::Loaded).empty();
     const bool reachable = std::ranges::any_of(servers, [&](const VmId& vm) {
@@ -299,17 +302,18 @@
     });
     if (!reachable)
       co_return Refuse(FailureKind::Unavailable,
-                       "all replicas are claimed on backend servers that cannot be reached",
+                       "all replicas are claimed on unreachable backend servers",
                        RETRY_AFTER_PLATFORM_MS);
     if (!claimed)
     {
       co_await Common::Sleep{RETRY_PAUSE};
       if (m_environment.board.With(artifact, ReplicaState::Ordered).empty())
-        co_return Refuse(FailureKind::Conflict, "the replicas are changing", RETRY_AFTER_MEMORY_MS);
+        co_return Refuse(FailureKind::Conflict, "the claims on the replicas have changed",
+                         RETRY_AFTER_MEMORY_MS);
     }
     co_await Common::Sleep{BOARD_POLL};
   }
-  co_return Refuse(FailureKind::DeadlineUnmeetable, "no replica is loaded in time",
+  co_return Refuse(FailureKind::DeadlineUnmeetable, "no replica was loaded before the deadline",
                    RETRY_AFTER_MEMORY_MS);
 }
 } // namespace Serving
--- a/Source/Core/Serving/ModelHome.h
+++ b/Source/Core/Serving/ModelHome.h
@@ -13,14 +13,16 @@
 
 namespace Serving
 {
-/// The home of an artifact: gathers the demand of all entry daemons of the data centre, so that a
-/// burst at many of them makes one load decision.
+/// Decides on the loads of the artifacts that hashing assigns to this daemon. Collects the demand
+/// of all entry daemons of the data centre, so that a burst at many of them leads to one load
+/// decision.
 class ModelHome
 {
 public:
   explicit ModelHome(Environment& environment) : m_environment(environment) {}
 
-  /// Makes the artifact servable and says where, or why not.
+  /// Makes sure that a server serves the artifact. Returns this server, or the reason why there is
+  /// none.
   Common::Task<Daemons::LoadReply> EnsureLoaded(Daemons::LoadRequest request);
 
 private:
@@ -33,10 +35,11 @@
                                                   std::vector<Common::VmId> servers,
                                                   Common::TimePoint deadline);
   std::vector<Decisions::PlacementCandidate> Candidates(const Table::Artifact& artifact) const;
-  /// Where an adapter can go: its base may be loaded anew, or all of the base's replicas are
-  /// claimed, and then only beside one of them.
+  /// Whether the server can hold the artifact. An adapter needs its base on the same server: either
+  /// the base has a claim there, or the base still has a free replica slot.
   bool CanHold(const Table::Artifact& artifact, const Daemons::ServerStatus& status) const;
-  /// Whether some server has room once its replicas have become idle.
+  /// Whether some server would have enough memory once its replicas have become idle and can be
+  /// evicted.
   bool MayGetRoom(const Table::Artifact& artifact) const;
   Common::MegaBytes MemoryNeeded(const Table::Artifact& artifact,
                                  const Daemons::ServerStatus& status) const;
--- a/Source/Core/Serving/Policies.h
+++ b/Source/Core/Serving/Policies.h
@@ -18,13 +18,13 @@
 using RoutingChoice = std::variant<Decisions::AffinityRouting, Decisions::RoundRobinRouting>;
 using LoadOrderChoice = std::variant<Decisions::UrgencyOrder, Decisions::FifoOrder>;
 
-/// Which policy this daemon runs for each decision.
+/// The policy that this daemon uses for each kind of decision.
 struct Policies
 {
   PlacementChoice placement;
   RetentionChoice retention = Decisions::CostRetention(20);
   RoutingChoice routing;
   LoadOrderChoice load_order;
-  bool fair_queue = true; ///< Otherwise first come, first served.
+  bool fair_queue = true; ///< If false, requests are served in FIFO order.
 };
 } // namespace Serving
--- a/Source/Core/Serving/Router.cpp
+++ b/Source/Core/Serving/Router.cpp
@@ -81,7 +81,7 @@
   if (!Decisions::CanMeetDeadline(input))
   {
     const Failure failure{FailureKind::Overloaded,
-                          "the queue ahead takes longer than the deadline"};
+                          "the expected wait in the queue exceeds the deadline"};
     co_return Refusal{failure, Decisions::ExpectedWait(input)};
   }
   Waiter waiter;
@@ -96,7 +96,7 @@
   queue.waiters.emplace(id, std::move(waiter));
   Dispatch(queue);
   const auto decision = co_await decided.WaitUntil(deadline);
-  // The map may have grown meanwhile; its elements stay where they are.
+  // The map may have grown in the meantime, but references to its elements remain valid.
   if (!decision)
   {
     std::visit(
@@ -105,7 +105,8 @@
         },
         queue.queue);
     queue.waiters.erase(id);
-    const Failure failure{FailureKind::DeadlineUnmeetable, "no replica was free in time"};
+    const Failure failure{FailureKind::DeadlineUnmeetable,
+                          "no replica was available before the deadline"};
     co_return Refusal{failure, RETRY_AFTER_DEADLINE};
   }
   if (const auto* refusal = std::get_if<Refusal>(&*decision))
@@ -181,7 +182,7 @@
     {
       saturated = saturated || !candidates.empty();
       passed_over.push_back(*next);
-      // Only a request that dislikes servers can fare worse than the next one.
+      // No later request has other candidates, unless this one excludes servers.
       if (request.disliked.empty())
         break;
       continue;
@@ -218,8 +219,8 @@
   return longest;
 }
 
-/// Asks the home of the artifact for as long as requests wait. A home that dies is replaced by the
-/// next one that hashing gives.
+/// Requests loads from the daemon that decides on them (HomeOf) for as long as requests wait. If
+/// that daemon fails, hashing selects another one for the next attempt.
 Task<void> Router::AskHome(ArtifactId id)
 {
   ArtifactQueue& queue = m_queues[id];
--- a/Source/Core/Serving/Router.h
+++ b/Source/Core/Serving/Router.h
@@ -17,18 +17,19 @@
 
 namespace Serving
 {
-/// What a request wants of the router.
+/// Properties of a request that the router needs for queueing and routing.
 struct RouteRequest
 {
   Common::RequestId request;
   Common::ServiceId service;
   std::int64_t weight = 1;
   Common::TimePoint deadline;
-  std::string affinity;            ///< The beginning of the prompt; empty: none.
-  std::set<Common::VmId> disliked; ///< Failed this request before: only where there is no other.
+  std::string affinity;            ///< The beginning of the prompt; empty if none.
+  std::set<Common::VmId> disliked; ///< Servers that failed this request; last resort.
 };
 
-/// Leave to send one request to a backend server. It counts there until it is destroyed.
+/// Permission to send one request to a backend server. The request counts as in flight there until
+/// the grant is destroyed.
 class Grant
 {
 public:
@@ -39,7 +40,7 @@
 
   const Common::VmId& Server() const { return m_server; }
   const std::string& Address() const { return m_address; }
-  /// No replica served the artifact when the request came.
+  /// Whether no replica was available for the request on its arrival.
   bool WasCold() const { return m_cold; }
 
 private:
@@ -53,7 +54,7 @@
   bool m_cold = false;
 };
 
-/// A refusal with the time after which it is worth coming back.
+/// A refusal with the time after which the client should retry.
 struct Refusal
 {
   Common::Failure failure;
@@ -62,8 +63,9 @@
 
 using Route = std::variant<Grant, Refusal>;
 
-/// The queue of this entry daemon: each request ends with a backend server that has its artifact
-/// loaded, or with a truthful refusal as soon as that is certain, at its deadline at the latest.
+/// Request queues of this entry daemon. Each request gets a backend server that has its artifact
+/// loaded, or a refusal as soon as it is certain that there will be none, at its deadline at the
+/// latest.
 class Router
 {
 public:
@@ -71,9 +73,10 @@
 
   Common::Task<Route> Acquire(Table::Artifact artifact, RouteRequest request);
 
-  /// A backend server declined although the board says that it serves: leave it out for a moment.
+  /// A backend server declined a request although the board lists it as serving. It is skipped for
+  /// 400 ms.
   void NoteDeclined(const Common::ArtifactId& artifact, const Common::VmId& server);
-  /// The board changed for these artifacts.
+  /// Called when replicas of these artifacts have changed on the server board.
   void OnBoardChange(const std::set<Common::ArtifactId>& artifacts);
 
   std::size_t Waiting() const;
--- a/Source/Core/Serving/ServerBoard.h
+++ b/Source/Core/Serving/ServerBoard.h
@@ -17,7 +17,7 @@
 
 namespace Serving
 {
-/// What this daemon knows of all backend servers: the newest status that a keeper told.
+/// The latest known status of every backend server, as reported by the daemons that manage them.
 class ServerBoard
 {
 public:
@@ -27,33 +27,35 @@
     Common::TimePoint heard;
   };
 
-  /// Takes a status; one with an older row version never replaces a newer one.
+  /// Stores a status, unless it has an older row version than the stored one.
   void Update(const Daemons::ServerStatus& status, Common::TimePoint now);
-  /// Takes over what the platform's list says of backend servers.
+  /// Updates the known backend servers from the platform's VM list.
   void SetListed(const std::vector<Platform::VmEntry>& entries, Common::TimePoint now);
-  /// The server's VM is no longer in the platform's list. The list lags, so it is gone; a server
-  /// that this daemon never saw there counts as gone only after `list_lag`, since it may be new.
+  /// Whether the server's VM has been removed from the platform's list. The list lags, so a server
+  /// that disappeared from it is really gone. A server that this daemon has never seen there may be
+  /// new and is considered gone only after `list_lag`.
   bool IsRetired(const Common::VmId& server, Common::TimePoint now,
                  Common::Milliseconds list_lag) const;
-  /// A home answered that `server` serves `artifact`, before its keeper's status came.
+  /// Marks `artifact` as loaded on `server` according to a load reply, which may arrive before the
+  /// status of the server.
   void HintLoaded(const Common::VmId& server, const Common::ArtifactId& artifact,
                   Common::TimePoint now);
 
   const Entry* Find(const Common::VmId& server) const;
-  /// For how long a replica has been idle: what its status said, counted on since then.
+  /// Idle time of a replica: the value in its status plus the time since the status was received.
   static Common::Milliseconds IdleTime(const Entry& entry, const Daemons::ReplicaStatus& replica,
                                        Common::TimePoint now);
   const std::map<Common::VmId, Entry>& Entries() const { return m_entries; }
   bool IsLeaving(const Common::VmId& server) const { return m_leaving.contains(server); }
-  /// Whether the server may get new work at all.
+  /// Whether the server may get new work: it is ready and not leaving.
   bool TakesWork(const Common::VmId& server) const;
-  /// The servers with a replica of the artifact in the given state.
+  /// Returns the servers with a replica of the artifact in the given state.
   std::vector<Common::VmId> With(const Common::ArtifactId& artifact,
                                  Daemons::ReplicaState state) const;
-  /// Whether work for the artifact may be sent to the server.
+  /// Whether requests for the artifact may be sent to the server.
   bool IsServing(const Common::VmId& server, const Common::ArtifactId& artifact) const;
 
-  /// Called with the artifacts whose replicas may have changed.
+  /// Sets the callback that gets the artifacts whose replicas may have changed.
   void OnChange(std::function<void(const std::set<Common::ArtifactId>&)> callback);
 
 private:
--- a/Source/Core/Serving/ServerRow.cpp
+++ b/Source/Core/Serving/ServerRow.cpp
@@ -153,9 +153,9 @@
                                 const std::string& table_key, std::int64_t table_version)
 {
   if (row.FindArtifact(claim.artifact))
-    return Failure{FailureKind::Conflict, "it is claimed on " + server.Get() + " already"};
+    return Failure{FailureKind::Conflict, "the artifact is already claimed on " + server.Get()};
   if (row.Claimed() + claim.memory > row.capacity)
-    return Failure{FailureKind::Overloaded, "no memory left on " + server.Get()};
+    return Failure{FailureKind::Overloaded, "not enough free memory on " + server.Get()};
   const std::string slot = SlotKey(claim.artifact, claim.slot);
   const Json slot_value = {{"server", server.Get()}, {"claim", claim.id.Get()}};
   row.claims.push_back(claim);
--- a/Source/Core/Serving/ServerRow.h
+++ b/Source/Core/Serving/ServerRow.h
@@ -16,7 +16,7 @@
 
 namespace Serving
 {
-/// A claim on one replica slot and on memory of one backend server.
+/// Reservation of one replica slot of an artifact and of memory on one backend server.
 struct Claim
 {
   Common::ClaimId id;
@@ -30,7 +30,8 @@
   Common::Incarnation server_incarnation;
 };
 
-/// The platform's row of one backend server. Its version orders all changes of its claims.
+/// The row of one backend server in the platform. All claims of the server are part of it, so the
+/// row's version serializes their changes.
 struct ServerRow
 {
   Common::Incarnation incarnation;
@@ -41,25 +42,26 @@
   Common::MegaBytes Claimed() const;
   Claim* Find(const Common::ClaimId& id);
   const Claim* FindArtifact(const Common::ArtifactId& id) const;
-  /// The next fencing number; every order to the server has one of its own.
+  /// Increments and returns the fencing number; every order to the server has a unique one.
   Common::FencingNumber NextFence();
 };
 
 std::string ServerKey(const Common::VmId& vm);
 std::string SlotKey(const Common::ArtifactId& artifact, std::int64_t slot);
-/// The key of a table row in the platform, from its key in the table.
+/// Converts the key of a table row to its key in the platform.
 std::string TableRowKey(const std::string& row_key);
 
 std::string Serialize(const ServerRow& row);
-/// A missing row is an empty one. Fails with Protocol where the text is not a server row.
+/// Parses a server row; an empty text gives an empty row. Fails with Protocol if the text is not a
+/// JSON object.
 Common::Result<ServerRow> ParseServerRow(const std::string& text);
 
-/// The server that holds a slot, from the value of the slot's row.
+/// Returns the server that has claimed a slot, given the value of the slot's row.
 Common::VmId SlotHolder(const std::string& slot_value);
 
-/// Adds the claim to the row and to the transaction: slot free, memory within the capacity, and the
-/// table row still as it was seen. Fails with Overloaded where the memory does not suffice, with
-/// Conflict where the server has a claim on the artifact already.
+/// Adds the claim to the row and to the transaction, on the conditions that the slot is free and
+/// that the table row is unchanged. Fails with Overloaded if the server lacks the memory, with
+/// Conflict if the server already has a claim on the artifact.
 std::optional<Common::Failure> AddClaim(ServerRow& row, Platform::Transaction& transaction,
                                         const Common::VmId& server, const Claim& claim,
                                         const std::string& table_key, std::int64_t table_version);
--- a/Source/Core/Serving/ServerWatch.cpp
+++ b/Source/Core/Serving/ServerWatch.cpp
@@ -158,7 +158,7 @@
     const auto order = m_orders.find(claim.id);
     if (order == m_orders.end())
     {
-      // Committed by a delayed copy of a transaction that this daemon had given up.
+      // Committed by a delayed duplicate of a transaction that this daemon had abandoned.
       return OrderKnowledge::NotSent;
     }
     *since = order->second.ended;
@@ -191,14 +191,14 @@
   input.claim = claim.state;
   if (IsGone())
   {
-    // Its memory is gone with it, and no connection to it lasts.
+    // The VM no longer exists, so its memory is free and no order can still reach it.
     input.reported = ReportedState::Absent;
     input.order = KnowledgeOf(claim, &since);
     input.same_incarnation = false;
     input.settled = true;
     return input;
   }
-  // A report from before the row's last change may show the time before a load or an unload.
+  // A report requested before the row's last change may predate a load or an unload.
   const bool current = m_report_current && m_report_asked > m_ledger.AdoptedAt();
   input.reported = current ? ToReported(Reported(claim.artifact)) : ReportedState::Unknown;
   input.order = KnowledgeOf(claim, &since);
@@ -214,7 +214,7 @@
 
 Task<void> ServerWatch::ReconcileClaims()
 {
-  // Each step may change the row, so each claim is looked up anew.
+  // Each step may change the row, so look up each claim again.
   std::vector<ClaimId> ids;
   std::ranges::transform(m_ledger.Row().claims, std::back_inserter(ids), &Claim::id);
   for (const ClaimId& id : ids)
@@ -231,7 +231,7 @@
   if (m_unloading.contains(claim.id))
     co_return;
   const ReconcileAction action = Decisions::Reconcile(Describe(claim));
-  // A daemon that no longer keeps the server settles only what it ordered itself.
+  // A daemon that no longer manages the server resolves only its own claims.
   if (action == ReconcileAction::Keep || (m_retired && !IsMine(claim)))
     co_return;
   LogEvent(LogLevel::Info, "claim.reconcile",
@@ -281,8 +281,8 @@
   m_confirmed_fence = fence;
 }
 
-/// What the engine holds without a claim came from an order that was counted once and freed since,
-/// or from outside: it is unloaded, but only after the row was read again.
+/// Unloads artifacts that the engine holds without a claim. They stem from an order whose claim has
+/// been released since, or were loaded by someone else. The row is read again before the unload.
 Task<void> ServerWatch::UnloadOrphans()
 {
   std::vector<ArtifactId> orphans;
--- a/Source/Core/Serving/ServerWatch.h
+++ b/Source/Core/Serving/ServerWatch.h
@@ -14,24 +14,25 @@
 
 namespace Serving
 {
-/// The keeper's work on one backend server: reads its reports, claims, orders loads and unloads,
-/// and settles every claim whose order had no definite outcome.
+/// Manages one backend server: polls its reports, claims replica slots, orders loads and unloads,
+/// and resolves every claim whose order had no definite outcome.
 class ServerWatch : public std::enable_shared_from_this<ServerWatch>
 {
 public:
   ServerWatch(Environment& environment, Table::BackendServer server);
 
-  /// Polls until `Retire` was called and nothing of this daemon's is left to settle.
+  /// Polls until `Retire` was called and all claims of this daemon are resolved.
   Common::Task<void> Run();
   void Retire() { m_retired = true; }
   void Resume() { m_retired = false; }
   bool IsRetired() const { return m_retired; }
   bool IsFinished() const { return m_finished; }
 
-  /// Evicts, claims and loads; an adapter's base too. Answers when it is loaded or certainly not.
+  /// Evicts, claims and loads, for an adapter including its base. Returns when the artifact is
+  /// loaded, or when loading it has failed.
   Common::Task<Daemons::PlaceReply> Place(Daemons::PlaceOrder order);
 
-  /// The status for the other daemons; nothing before the first report and row.
+  /// The status for the other daemons; empty until the first report and row have been read.
   std::optional<Daemons::ServerStatus> Status() const;
 
 private:
@@ -74,10 +75,10 @@
   Decisions::OrderKnowledge KnowledgeOf(const Claim& claim, Common::TimePoint* since) const;
   const BackendServers::LoadedArtifact* Reported(const Common::ArtifactId& id) const;
   bool IsMine(const Claim& claim) const;
-  /// The server's VM was taken away by the platform.
+  /// Whether the platform has removed the server's VM and the server no longer reports.
   bool IsGone() const;
   bool IsCached(const Common::ArtifactId& id) const;
-  /// By the engine's last report, the replica of the claim is not idle.
+  /// Whether the replica of the claim is not idle according to the engine's last report.
   bool IsInUse(const Common::ClaimId& id) const;
   bool HasUnsettledClaims() const;
   bool IsSurplus(const Claim& claim) const;
@@ -93,10 +94,10 @@
   Common::Incarnation m_fenced_incarnation;
   Common::FencingNumber m_confirmed_fence;
   int m_failed_reports = 0;
-  /// Since when the engine answers without the artifact, without a gap.
+  /// The time since which the engine has continuously reported the artifact as absent.
   std::map<Common::ArtifactId, Common::TimePoint> m_absent_since;
   std::map<Common::ClaimId, LocalOrder> m_orders;
-  /// Loaded by a definite outcome that the row does not say yet.
+  /// Claims whose load has succeeded but is not yet recorded in the row.
   std::set<Common::ClaimId> m_loaded;
   std::map<Common::ArtifactId, std::shared_ptr<Placed>> m_placing;
   std::map<Common::ArtifactId, Common::Milliseconds> m_load_times;
--- a/Source/Core/Serving/ServerWatchOrders.cpp
+++ b/Source/Core/Serving/ServerWatchOrders.cpp
@@ -56,7 +56,7 @@
     co_return Refuse({FailureKind::NotFound, "the table has no " + order.artifact.Get()});
   for (const ClaimId& id : order.evict)
   {
-    // The home decided by news that may be old; the engine's last report is newer.
+    // The decision may be based on an outdated status; the engine's last report is newer.
     if (IsInUse(id))
       co_return Refuse({FailureKind::Overloaded, "a replica to evict is in use again"});
     const auto evicted = co_await Unload(id);
@@ -73,7 +73,7 @@
   co_return reply;
 }
 
-/// Orders for the same artifact that come while one is under way share its outcome.
+/// Concurrent orders for the same artifact share one load and its outcome.
 Task<PlaceReply> ServerWatch::PlaceOnce(ArtifactId id, PlaceOrder order)
 {
   if (!m_ledger.IsKnown())
@@ -87,7 +87,7 @@
     const auto reply = co_await shared->WaitUntil(Now() + m_environment.timing.order_timeout);
     if (reply)
       co_return *reply;
-    co_return Refuse({FailureKind::Timeout, "the load under way does not end"});
+    co_return Refuse({FailureKind::Timeout, "timed out waiting for the load in progress"});
   }
   const auto placed = std::make_shared<Placed>();
   m_placing[id] = placed;
@@ -121,7 +121,8 @@
   bool permitted = true;
   if (from_store)
     permitted = co_await GetPermit(artifact, claim->id, Milliseconds(order.patience_ms));
-  Result<Done> loaded(FailureKind::DeadlineUnmeetable, "no turn at the weight store in time");
+  Result<Done> loaded(FailureKind::DeadlineUnmeetable,
+                      "no permit for the weight store before the deadline");
   if (permitted)
     loaded = co_await OrderLoad(artifact, *claim, began);
   if (from_store)
@@ -160,7 +161,7 @@
                                            std::vector<VmId>* holders)
 {
   if (!m_report_current)
-    co_return Failure{FailureKind::Unavailable, "no current report of " + m_server.vm.Get()};
+    co_return Failure{FailureKind::Unavailable, "no current report from " + m_server.vm.Get()};
   Claim claim;
   claim.artifact = artifact.id;
   claim.memory = artifact.memory;
@@ -169,7 +170,8 @@
   int table_retries = 0;
   for (std::int64_t slot = 0; slot < artifact.replicas; ++slot)
   {
-    // Another id for each try: a delayed copy of one must not be taken for the next.
+    // Use a new id for each attempt, so that a delayed duplicate of one is not mistaken for the
+    // next.
     claim.id = ClaimId(Common::NewId("c-"));
     claim.slot = slot;
     const std::string table_key = TableRowKey(artifact.row_key);
@@ -199,9 +201,9 @@
       holders->push_back(SlotHolder(taken->value));
       continue;
     }
-    // The table row has changed: decide again by the table as it is now.
+    // The table row has changed: read the table and retry the same slot.
     if (++table_retries > MAX_TABLE_RETRIES)
-      co_return Failure{FailureKind::Conflict, "the table keeps changing"};
+      co_return Failure{FailureKind::Conflict, "the table was changed concurrently too often"};
     const auto refreshed = co_await m_environment.table.Refresh();
     if (!refreshed)
       co_return Failure{FailureKind::NotSent, refreshed.Reason().detail};
@@ -213,12 +215,12 @@
     --slot;
   }
   co_return Failure{FailureKind::Conflict, "all " + std::to_string(artifact.replicas) +
-                                               " replicas of the table are claimed"};
+                                               " replicas allowed by the table are claimed"};
 }
 
-/// A pause since before the claim may be a freeze, in which another daemon took the claim
-/// over; then the row decides. This only spares a useless order: safety lies in the claim itself,
-/// which stays counted.
+/// Reads the row to check that the claim still belongs to this daemon. After a long pause, such as
+/// a freeze of the VM, another daemon may have taken it over. This only avoids a useless order;
+/// safety is guaranteed by the claim itself, which remains counted.
 Task<bool> ServerWatch::StillHeld(ClaimId id)
 {
   const auto refreshed = co_await m_ledger.Refresh();
@@ -242,12 +244,13 @@
   for (int attempt = 0; attempt < MAX_ORDER_TRIES; ++attempt)
   {
     co_await Common::Sleep{Milliseconds(0)};
-    // `checked` lies before the claim's commit: a freeze that it was answered in counts too.
+    // `checked` is initially a time before the claim's commit, so that a freeze during the commit
+    // is noticed as well.
     if (Now() - checked > m_environment.timing.freeze_limit)
     {
       const bool held = co_await StillHeld(claim.id);
       if (!held)
-        co_return Failure{FailureKind::NotSent, "the claim was lost in a pause"};
+        co_return Failure{FailureKind::NotSent, "the claim was lost during a pause"};
     }
     m_orders[claim.id].sent = true;
     LogEvent(LogLevel::Info, "load.ordered",
@@ -259,14 +262,14 @@
                                                           m_environment.timing.order_timeout);
     if (done || done.Reason().kind != FailureKind::Refused)
       co_return done;
-    // Definitely not carried out: a later order overtook this one, or the engine was restarted.
+    // Definitely not executed: a later order overtook this one, or the engine was restarted.
     const auto fence = co_await RenewFence(claim.id);
     if (!fence)
       co_return Failure{FailureKind::Refused, fence.Reason().detail};
     order.fence = *fence;
     checked = Now();
   }
-  co_return Failure{FailureKind::Refused, "the engine refuses the order"};
+  co_return Failure{FailureKind::Refused, "the engine refused the order repeatedly"};
 }
 
 Task<Result<FencingNumber>> ServerWatch::RenewFence(ClaimId id)
@@ -276,7 +279,7 @@
     Claim* claim = row.Find(id);
     if (!claim || !IsMine(*claim) || claim->state != ClaimState::Ordered ||
         claim->server_incarnation != m_report->incarnation)
-      return Failure{FailureKind::Conflict, "the claim is no longer this daemon's"};
+      return Failure{FailureKind::Conflict, "the claim no longer belongs to this daemon"};
     fence = row.NextFence();
     claim->fence = fence;
     return std::nullopt;
@@ -294,7 +297,7 @@
   const auto edit = [&id](ServerRow& row, Platform::Transaction&) -> std::optional<Failure> {
     Claim* claim = row.Find(id);
     if (!claim || claim->state != ClaimState::Ordered)
-      return Failure{FailureKind::Conflict, "no such ordered claim"};
+      return Failure{FailureKind::Conflict, "no such claim in state ordered"};
     claim->state = ClaimState::Loaded;
     return std::nullopt;
   };
@@ -309,7 +312,8 @@
   co_return done;
 }
 
-/// `seen` is the claim that the decision was made for; where it has changed since, it stays.
+/// Releases a claim. `seen` is the state that the decision was based on; if the claim has changed
+/// since, it is not released.
 Task<Result<Done>> ServerWatch::Free(Claim seen)
 {
   const ClaimId id = seen.id;
@@ -334,19 +338,20 @@
   co_return done;
 }
 
-/// Marks the claim first, so that no daemon sends it work, then lets the engine finish and unload.
+/// Marks the claim as unloading first, so that no daemon sends requests to the replica, and then
+/// orders the engine to complete its running requests and unload.
 Task<Result<Done>> ServerWatch::Unload(ClaimId id)
 {
   const auto self = shared_from_this();
   if (!m_unloading.insert(id).second)
-    co_return Failure{FailureKind::Conflict, "it is being unloaded already"};
+    co_return Failure{FailureKind::Conflict, "the replica is already being unloaded"};
   Claim unloading;
   const auto edit = [&](ServerRow& row, Platform::Transaction&) -> std::optional<Failure> {
     Claim* claim = row.Find(id);
     if (!claim)
       return Failure{FailureKind::NotFound, "no such claim"};
     if (claim->state == ClaimState::Ordered && !m_loaded.contains(id))
-      return Failure{FailureKind::Conflict, "its load has no definite outcome yet"};
+      return Failure{FailureKind::Conflict, "the load of the claim has no definite outcome yet"};
     claim->state = ClaimState::Unloading;
     claim->holder = m_environment.Self();
     claim->holder_incarnation = m_environment.membership.Self().incarnation;
@@ -406,8 +411,9 @@
   return m_report && (holds(m_report->in_memory) || holds(m_report->on_disk));
 }
 
-/// The weight store slows all loads down when too many run at once; one daemon gives the turns.
-/// Without it the load goes ahead: the turn is for speed, not for safety.
+/// Requests a permit for a load from the weight store, which slows down all loads if too many run
+/// concurrently. If the daemon that grants the permits is unreachable, the load proceeds without
+/// one: permits only matter for speed, not for safety.
 Task<bool> ServerWatch::GetPermit(const Table::Artifact& artifact, ClaimId claim,
                                   Milliseconds patience)
 {
--- a/Source/Core/Serving/TableFollower.cpp
+++ b/Source/Core/Serving/TableFollower.cpp
@@ -34,8 +34,8 @@
 constexpr std::int64_t MAX_STEPS = 64;
 constexpr Milliseconds PULL_TIMEOUT{2000};
 constexpr Milliseconds APPLY_TIMEOUT{5000};
-/// The more daemons there are, the rarer each polls: 66 reads a second in all. Heartbeats are
-/// faster.
+/// The poll interval grows with the number of daemons, which limits all of them together to 66
+/// reads per second. Heartbeats propagate changes faster.
 constexpr Milliseconds POLL_SHARE{15};
 
 std::string HistoryKey(std::int64_t revision)
@@ -67,7 +67,7 @@
   return text.data();
 }
 
-/// The transaction that makes `change` the next revision.
+/// Builds the transaction that commits `change` as the next revision.
 Platform::Transaction BuildTransaction(const Table::Change& change, std::int64_t head_version)
 {
   Platform::Transaction transaction;
@@ -132,7 +132,7 @@
   }
   if (revision == m_revision.Get())
     m_head_version = head->version;
-  // An empty table is a table too: revision 0 of a new installation.
+  // An empty table is valid: it is revision 0 of a new installation.
   m_has_table = true;
   co_return Done{};
 }
@@ -309,19 +309,19 @@
   if (!outcome)
     co_return outcome.Reason();
   if (!outcome->committed)
-    co_return Failure{FailureKind::Conflict, "another edit came first"};
+    co_return Failure{FailureKind::Conflict, "another edit was committed first"};
   change.version = outcome->version;
   m_head_version = outcome->version;
   Step(change);
-  // Only where the edit was accepted: if every daemon told all others, an edit would cost as many
-  // heartbeats as there are pairs of daemons.
+  // Only the daemon that accepted the edit announces it. If every daemon did, an edit would cost as
+  // many heartbeats as there are pairs of daemons.
   m_link.Announce();
   co_return change;
 }
 
 Task<Result<std::vector<Table::Change>>> TableFollower::History(std::int64_t count)
 {
-  // The history lies in the platform: what was accepted elsewhere a moment ago belongs to it too.
+  // Refresh first, so that the history includes edits just accepted by other daemons.
   const auto refreshed = co_await Refresh();
   if (!refreshed)
     co_return refreshed.Reason();
--- a/Source/Core/Serving/TableFollower.h
+++ b/Source/Core/Serving/TableFollower.h
@@ -19,37 +19,39 @@
 
 namespace Serving
 {
-/// Holds the operators' table in this daemon and keeps it current: from peers, whose heartbeats
-/// tell of a newer revision, and by polling the platform. It only ever moves to a higher revision.
+/// Replicates the operators' table to this daemon. Updates come from peers whose heartbeats
+/// announce a newer revision, and from polling the platform. The revision never decreases.
 class TableFollower
 {
 public:
   TableFollower(Platform::Store& store, Daemons::Link& link, Daemons::Membership& membership,
                 Common::Milliseconds poll_interval);
 
-  /// Begins to follow; calls `on_change` after each step.
+  /// Starts polling; calls `on_change` after each change of the table.
   void Start(std::function<void()> on_change);
 
   bool HasTable() const { return m_has_table; }
   Common::Revision CurrentRevision() const { return m_revision; }
   const Table::Catalog& Current() const { return *m_catalog; }
-  /// The shared catalog; callers that await keep it alive across a change.
+  /// Returns the catalog with shared ownership, for coroutines that use it across a suspension.
   std::shared_ptr<const Table::Catalog> Share() const { return m_catalog; }
   const Table::RowMap& Rows() const { return m_rows; }
-  /// The platform's version of a table row, which a claim is conditioned on.
+  /// The platform's version of a table row, used as a condition of claims; -1 if there is no such
+  /// row.
   std::int64_t RowVersion(const std::string& row_key) const;
 
-  /// Looks at the platform now.
+  /// Reads the head revision from the platform and applies newer changes.
   Common::Task<Common::Result<Common::Done>> Refresh();
-  /// A heartbeat said that `vm` holds `revision`.
+  /// Called when a heartbeat announces that `vm` has `revision`; pulls it if it is newer.
   void OnPeerRevision(const Common::VmId& vm, Common::Revision revision);
   Daemons::TableReply Answer(const Daemons::TablePull& pull) const;
 
-  /// Makes `rows` the table, against the revision that the operator saw. Fails with Conflict where
-  /// another edit came first; the change id finds an edit whose answer was lost.
+  /// Replaces the table with `rows`, provided that it is still at the revision that the operator
+  /// saw; otherwise fails with Conflict. A repeated edit with a known `change_id`, whose response
+  /// was lost, returns the earlier change.
   Common::Task<Common::Result<Table::Change>> Apply(Common::Revision seen, std::string change_id,
                                                     std::string who, std::vector<Table::Row> rows);
-  /// Changes from the platform's history, newest first, at most `count`.
+  /// Returns at most `count` changes from the platform's history, newest first.
   Common::Task<Common::Result<std::vector<Table::Change>>> History(std::int64_t count);
 
 private:
