--- a/Source/Core/Table/Catalog.cpp
+++ b/Source/Core/Table/Catalog.cpp
@@ -85,7 +85,7 @@
 
 void Catalog::AddModel(const Row& row)
 {
-  // A model with versions is loaded only as one of them.
+  // A model that has versions is not an artifact itself; only its versions are.
   if (m_versions.contains(row.name))
     return;
   Artifact artifact;
--- a/Source/Core/Table/Catalog.h
+++ b/Source/Core/Table/Catalog.h
@@ -14,18 +14,18 @@
 
 namespace Table
 {
-/// Something that a backend server loads, as the table decides it.
+/// A model version or an adapter that backend servers can load, with its settings from the table.
 struct Artifact
 {
   Common::ArtifactId id;
-  Common::ArtifactId base; ///< For an adapter: the model version below it.
+  Common::ArtifactId base; ///< For an adapter: the model version that it needs.
   std::string pool;
   Common::MegaBytes memory;
   std::int64_t replicas = 0;
   std::int64_t weight = 1;
-  std::int64_t limit = 0; ///< Requests at once at one replica; 0: what the engine allows.
+  std::int64_t limit = 0; ///< Concurrent requests per replica; 0: the engine's limit.
   Common::Milliseconds deadline{0};
-  std::string row_key; ///< The table row that a claim is conditioned on.
+  std::string row_key; ///< The table row that a claim requires to be unchanged.
 };
 
 struct BackendServer
@@ -55,7 +55,7 @@
   Common::Milliseconds deadline{0};
 };
 
-/// The table in the form that decisions read: everything looked up by id.
+/// Read-only view of the table, indexed by id.
 class Catalog
 {
 public:
@@ -67,10 +67,10 @@
   const PlainService* FindPlainService(const std::string& name) const;
   const Service* FindServiceByKeyHash(const std::string& hash) const;
   const Service* FindService(const Common::ServiceId& id) const;
-  /// Whether a call of a plain service may be repeated; calls not in the table may not.
+  /// Whether a call of a plain service may be repeated; false for calls that are not in the table.
   bool IsRepeatable(const std::string& service, const std::string& path) const;
-  /// The artifact for a `model` of a caller: an adapter, MODEL.VERSION, or a model whose version
-  /// is drawn by weight. Nothing where the table does not know it.
+  /// Returns the artifact for the `model` of a request: an adapter, MODEL.VERSION, or a model, for
+  /// which one of the versions is picked at random by weight. Null if there is no such artifact.
   const Artifact* Resolve(const std::string& name, Common::Random& random) const;
   std::int64_t SettingNumber(const std::string& name, std::int64_t fallback) const;
 
--- a/Source/Core/Table/Change.h
+++ b/Source/Core/Table/Change.h
@@ -12,7 +12,7 @@
 
 namespace Table
 {
-/// One row of the table together with the platform's version of it.
+/// A row of the table with its version in the platform.
 struct VersionedRow
 {
   Row row;
@@ -25,16 +25,16 @@
   }
 };
 
-/// What one accepted edit did: the step from `revision - 1` to `revision`.
+/// The result of one accepted edit: the difference between `revision - 1` and `revision`.
 struct Change
 {
   Common::Revision revision;
-  std::string id; ///< Chosen by the operator's tool; finds the change whose answer was lost.
+  std::string id; ///< Chosen by the operator's tool; finds the change after a lost response.
   std::string who;
   std::string when; ///< ISO 8601, UTC.
   std::vector<Row> put;
   std::vector<std::string> removed; ///< Row keys.
-  std::int64_t version = 0;         ///< The platform's version of the rows that it wrote.
+  std::int64_t version = 0;         ///< The platform's version of the written rows.
 
   bool Empty() const { return put.empty() && removed.empty(); }
 
@@ -47,7 +47,7 @@
 
 using RowMap = std::map<std::string, VersionedRow>;
 
-/// The rows to put and to remove so that `current` becomes `wanted`.
+/// Returns the change that turns `current` into `wanted`.
 Change Difference(const RowMap& current, const std::vector<Row>& wanted);
 
 void ApplyChange(RowMap& rows, const Change& change);
--- a/Source/Core/Table/CsvFile.cpp
+++ b/Source/Core/Table/CsvFile.cpp
@@ -55,7 +55,7 @@
   parsing->lines.push_back(std::exchange(parsing->cells, {}));
 }
 
-/// Turns the cells of one line into a row and collects what is wrong with them.
+/// Converts the cells of one line into a row and collects the errors in them.
 class LineReader
 {
 public:
@@ -159,7 +159,7 @@
          std::ranges::all_of(cells, &std::string::empty);
 }
 
-/// Checks of one row against the others.
+/// Checks each row against the others.
 class RowChecker
 {
 public:
@@ -174,7 +174,7 @@
     m_errors.clear();
     m_line = line;
     if (!m_seen.insert(RowKey(row)).second)
-      Fail(Column::Name, "this " + std::string(ToString(row.kind)) + " stands twice");
+      Fail(Column::Name, "this " + std::string(ToString(row.kind)) + " is defined twice");
     CheckKind(row);
     return m_errors;
   }
@@ -231,7 +231,7 @@
     std::int64_t& sum = m_version_replicas[row.parent];
     sum += row.replicas.value_or(0);
     Need(sum <= model->second->replicas.value_or(0), Column::Replicas,
-         "the versions have more replicas together than the model");
+         "the versions together have more replicas than the model");
   }
 
   void CheckAdapter(const Row& row)
@@ -240,7 +240,7 @@
                        m_rows.contains(RowKey(RowKind::Version, row.parent));
     Need(known, Column::Parent, "expected a model or a version of this table");
     Need(!m_rows.contains(RowKey(RowKind::Model, row.name)), Column::Name,
-         "a model has this name already");
+         "a model already has this name");
     Need(row.memory_mb.value_or(0) > 0, Column::MemoryMb, "expected the adapter's memory in MB");
     Need(row.replicas.has_value(), Column::Replicas, "expected the number of replicas");
   }
@@ -317,7 +317,7 @@
   csv_free(&parser);
   if (!whole)
     content.errors.push_back({static_cast<int>(parsing.lines.size()) + 1, 0,
-                              "expected CSV: a quote is out of place or not closed"});
+                              "expected CSV: misplaced or unclosed quote"});
   if (parsing.lines.empty())
     parsing.lines.emplace_back();
   CheckHeading(parsing.lines.front(), content.errors);
--- a/Source/Core/Table/CsvFile.h
+++ b/Source/Core/Table/CsvFile.h
@@ -11,31 +11,32 @@
 
 namespace Table
 {
-/// What is wrong in one cell of a table file.
+/// An error in one cell or line of a table file.
 struct CellError
 {
-  int line = 0;   ///< From 1; the heading is line 1.
-  int column = 0; ///< From 1; 0 where the whole line is meant.
+  int line = 0;   ///< Starts at 1, which is the heading.
+  int column = 0; ///< Starts at 1; 0 if the error concerns the whole line.
   std::string message;
 };
 
-/// The rows of a file, or everything that is wrong with it.
+/// The rows of a file and the errors found in it.
 struct CsvContent
 {
   std::vector<Row> rows;
-  std::vector<int> lines; ///< The line of each row.
+  std::vector<int> lines; ///< The line number of each element of `rows`.
   std::vector<CellError> errors;
 };
 
-/// The heading that every table file begins with.
+/// Returns the heading that every table file starts with.
 std::string CsvHeading();
 
-/// Reads a whole CSV file (RFC 4180, by libcsv). Lines whose first cell starts with '#' are notes.
+/// Parses a CSV file (RFC 4180, with libcsv). Lines whose first cell starts with '#' are comments.
 CsvContent ReadCsv(std::string_view text);
 
-/// Writes rows so that `ReadCsv` gives them back.
+/// Formats rows as a CSV file that `ReadCsv` can parse.
 std::string WriteCsv(const std::vector<Row>& rows);
 
-/// Checks the rows against each other: parents, duplicates, sums. Lines give the places.
+/// Checks the rows against each other: parents, duplicates and sums. `lines` holds the line number
+/// of each row, for the errors.
 std::vector<CellError> CheckRows(const std::vector<Row>& rows, const std::vector<int>& lines);
 } // namespace Table
--- a/Source/Core/Table/Row.cpp
+++ b/Source/Core/Table/Row.cpp
@@ -98,7 +98,7 @@
 {
   const auto kind = ParseRowKind(Common::GetOr(json, "kind", std::string()));
   if (!kind)
-    return {FailureKind::InvalidInput, "a table row without a known kind"};
+    return {FailureKind::InvalidInput, "the kind of the table row is unknown"};
   Row row;
   row.kind = *kind;
   row.name = Common::GetOr(json, "name", std::string());
@@ -115,7 +115,7 @@
   row.fencing = Common::GetOr(json, "fencing", std::string());
   row.value = Common::GetOr(json, "value", std::string());
   if (row.name.empty())
-    return {FailureKind::InvalidInput, "a table row without a name"};
+    return {FailureKind::InvalidInput, "the table row has no name"};
   return row;
 }
 } // namespace Table
--- a/Source/Core/Table/Row.h
+++ b/Source/Core/Table/Row.h
@@ -13,25 +13,25 @@
 
 namespace Table
 {
-/// What one row of the operators' table declares.
+/// The kind of object that a row of the operators' table defines.
 enum class RowKind
 {
   DataCentre,    ///< A data centre by name.
-  Service,       ///< A calling service: weight, limit of open requests, key hash in `value`.
+  Service,       ///< A calling service: weight, limit of concurrent requests, key hash in `value`.
   Pool,          ///< A group of backend servers that load the same models.
   BackendServer, ///< A backend server: parent = pool, data centre, address, memory, fencing.
-  Model,         ///< A model: parent = pool, memory, replicas, limit of requests at one replica.
-  Version,       ///< A version: parent = model, weight of the traffic, own replicas.
-  Adapter,       ///< An adapter: parent = model or model@version, memory, replicas.
-  PlainService,  ///< A plain service: parent = pool.
-  Call,          ///< A call of a plain service: parent = service, value = path, repeatable.
-  Setting,       ///< A number or text for the whole system in `value`.
+  Model,   ///< A model: parent = pool, memory, replicas, limit of concurrent requests per replica.
+  Version, ///< A version: parent = model, share of the traffic as weight, replicas.
+  Adapter, ///< An adapter: parent = model or MODEL.VERSION, memory, replicas.
+  PlainService, ///< A plain service: parent = pool.
+  Call,         ///< A call of a plain service: parent = service, value = path, repeatable.
+  Setting,      ///< A number or text for the whole system in `value`.
 };
 
 std::string_view ToString(RowKind kind);
 std::optional<RowKind> ParseRowKind(std::string_view text);
 
-/// One row of the table. Columns that the kind does not use are empty.
+/// One row of the table. Columns that its kind does not use are empty.
 struct Row
 {
   RowKind kind = RowKind::Setting;
@@ -58,7 +58,7 @@
   }
 };
 
-/// The key that identifies a row in the table: kind and name.
+/// Returns the key that identifies a row in the table, made of kind and name.
 std::string RowKey(RowKind kind, std::string_view name);
 std::string RowKey(const Row& row);
 
