--- a/Source/Core/Serving/Environment.h
+++ b/Source/Core/Serving/Environment.h
@@ -21,8 +21,8 @@
   Common::Milliseconds report_interval{300};
   Common::Milliseconds order_timeout{120000};
   /// How long an engine that ignores fencing numbers must report the artifact as absent before an
-  /// order of unknown outcome is considered lost. More than twice the time for which the kernel
-  /// retransmits an unacknowledged order (Http/Client.cpp).
+  /// order of unknown outcome is considered lost. Twice the time after which the kernel drops an
+  /// unacknowledged order (UNACKNOWLEDGED_LIMIT_MS in Http/Client.cpp).
   Common::Milliseconds order_settle{20000};
   /// If more time than this passes between claim and order, the claim is validated again.
   Common::Milliseconds freeze_limit{1000};
--- a/Source/Core/Serving/ServerRow.cpp
+++ b/Source/Core/Serving/ServerRow.cpp
@@ -153,7 +153,8 @@
                                 const std::string& table_key, std::int64_t table_version)
 {
   if (row.FindArtifact(claim.artifact))
-    return Failure{FailureKind::Conflict, "the artifact is already claimed on " + server.Get()};
+    return Failure{FailureKind::Conflict,
+                   "the artifact has a claim on " + server.Get() + " already"};
   if (row.Claimed() + claim.memory > row.capacity)
     return Failure{FailureKind::Overloaded, "not enough free memory on " + server.Get()};
   const std::string slot = SlotKey(claim.artifact, claim.slot);
