--- /dev/null
+++ b/Source/Core/Gateway/CrashDetector.h
@@ -0,0 +1,77 @@
+// SPDX-FileCopyrightText: 2026 The drumpond developers
+// SPDX-License-Identifier: Apache-2.0
+
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <optional>
+#include <vector>
+
+#include "Common/Reactor.h"
+#include "Crashes/Fingerprint.h"
+#include "Gateway/ServerDirectory.h"
+#include "Http/TcpStream.h"
+
+namespace Gateway
+{
+/// Determines, after a connection to a backend server breaks, whether the server has crashed, that
+/// is, whether its process has exited without a planned shutdown. A reset connection, a truncated
+/// response, a network partition and a planned shutdown look the same at first. A refused
+/// connection shows that the process has exited: the host is reachable and nothing listens on the
+/// port. If a connection is accepted, the process is running. If the attempt times out, the state
+/// stays unknown and is not treated as a crash.
+class CrashDetector
+{
+public:
+  /// A request in progress on a server when a connection to it broke.
+  struct Suspect
+  {
+    Crashes::Fingerprint request;
+    Common::TimePoint sent_at;
+    /// When a server last completed the request successfully; unset if none is known to have.
+    std::optional<Common::TimePoint> last_success;
+    /// Time since the first bytes of the response; unset if there were none.
+    std::optional<Common::Milliseconds> ran_for;
+  };
+  /// Arguments: the server, when its first connection broke, and the requests that may have caused
+  /// the crash.
+  using CrashHandler =
+      std::function<void(const InstanceId&, Common::TimePoint, const std::vector<Suspect>&)>;
+
+  explicit CrashDetector(const ServerDirectory& servers) : m_servers(servers) {}
+
+  /// Called for each server that has crashed.
+  void OnCrashed(CrashHandler handler) { m_on_crashed = std::move(handler); }
+  /// Called when the check of a suspected server completes.
+  void OnCheckDone(std::function<void()> callback) { m_on_check_done = std::move(callback); }
+
+  /// Records that a connection broke during an exchange.
+  void NoteConnectionBroken(const ServerPtr& server, const Suspect& suspect);
+  /// Records that a new connection to the server was refused.
+  void NoteConnectionRefused(const ServerPtr& server);
+  /// True while it is undetermined whether a server crashed while it processed the request.
+  bool IsCheckPending(const Crashes::Fingerprint& request) const;
+
+private:
+  /// Connects to the server to check whether it still listens.
+  class Probe;
+  struct PendingCheck
+  {
+    ServerPtr server;
+    Common::TimePoint since;
+    std::vector<Suspect> suspects;
+    Common::OwnedTimer timer;
+    std::shared_ptr<Probe> probe;
+  };
+
+  void StartProbe(const InstanceId& instance);
+  void Finish(const InstanceId& instance, bool crashed, const char* how);
+
+  const ServerDirectory& m_servers;
+  CrashHandler m_on_crashed;
+  std::function<void()> m_on_check_done;
+  std::map<InstanceId, PendingCheck> m_pending_checks;
+};
+} // namespace Gateway
--- a/Source/Core/Gateway/LimitedServers.cpp
+++ b/Source/Core/Gateway/LimitedServers.cpp
@@ -16,15 +16,15 @@
 using RateLimits::ServerKey;
 using Seconds = std::chrono::duration<double>;
 
-/// The longest time that ComeBackAfter() returns.
-constexpr Milliseconds LONGEST_RETURN{10000};
+/// The longest time that RetryDelay() returns.
+constexpr Milliseconds MAX_RETRY_DELAY{10000};
 
 /// How long a queue position is used: the lease holder sends it in every answer to this daemon's
 /// periodic permit requests.
-constexpr Milliseconds AHEAD_VALID{300};
+constexpr Milliseconds QUEUE_POSITION_LIFETIME{300};
 /// How long the time of the next free permit is used: the lease holder announces it twice within
 /// this span.
-constexpr Milliseconds FREE_VALID{1300};
+constexpr Milliseconds NEXT_PERMIT_LIFETIME{1300};
 
 std::uint32_t CountOf(const std::map<ServerKey, std::uint32_t>& counts, ServerKey server)
 {
@@ -38,24 +38,24 @@
 {
   if (!reading.readable)
   {
-    ++m_unreadable;
+    ++m_unreadable_limits;
     Common::LogEvent(Common::LogLevel::Warning, "server-limit-unreadable",
                      {{"instance", server.Entry().instance},
                       {"value", reading.unreadable},
-                      {"in_force", RateLimits::Describe(m_book.InForce(server.Key()))}});
+                      {"in_force", RateLimits::Describe(m_book.CurrentLimit(server.Key()))}});
   }
   if (const auto change = m_book.NoteAnswer(server.Key(), reading, sent_at, Common::Now()))
     Report({*change}, "an answer");
 }
 
-void LimitedServers::TakeNews(std::int64_t tenure, const RateLimits::LimitNews& news)
+void LimitedServers::ApplyUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& news)
 {
   const auto now = Common::Now();
-  TakeQueues(news, now);
-  Report(m_book.TakeNews(tenure, news, now), "the holder");
+  ApplyQueues(news, now);
+  Report(m_book.ApplyUpdate(tenure, news, now), "the holder");
 }
 
-void LimitedServers::TakeQueues(const RateLimits::LimitNews& news, Common::TimePoint now)
+void LimitedServers::ApplyQueues(const RateLimits::LimitUpdate& news, Common::TimePoint now)
 {
   std::erase_if(m_waiting, [&](const auto& entry) {
     return news.Covers(entry.first);
@@ -63,14 +63,14 @@
   for (const RateLimits::LimitLine& line : news.lines)
   {
     m_waiting[line.server] = line.waiting;
-    m_free_at[line.server] = {now + Milliseconds(line.free_in_ms), now};
+    m_next_permits[line.server] = {now + Milliseconds(line.free_in_ms), now};
   }
 }
 
-void LimitedServers::TakeObservations(std::int64_t tenure, const Common::VmId& from,
-                                      std::span<const RateLimits::LimitObservation> observations)
+void LimitedServers::ApplyObservations(std::int64_t tenure, const Common::VmId& from,
+                                       std::span<const RateLimits::LimitObservation> observations)
 {
-  Report(m_book.TakeObservations(tenure, observations, Common::Now()), from.Get());
+  Report(m_book.ApplyObservations(tenure, observations, Common::Now()), from.Get());
 }
 
 void LimitedServers::Report(const std::vector<RateLimits::LimitChange>& changes,
@@ -105,7 +105,7 @@
   std::vector<ServerKey> keys;
   for (const auto& [instance, server] : m_servers.All())
   {
-    const auto rate = m_book.InForce(server->Key());
+    const auto rate = m_book.CurrentLimit(server->Key());
     const auto since = m_book.LimitedSince(server->Key());
     if (!rate)
     {
@@ -117,20 +117,20 @@
     keys.push_back(server->Key());
   }
   m_permits.Retain(keys);
-  const auto is_over = [&](const auto& entry) {
+  const auto is_unlimited = [&](const auto& entry) {
     return std::ranges::find(keys, entry.first) == keys.end();
   };
-  std::erase_if(m_next_return, is_over);
-  std::erase_if(m_ahead, is_over);
-  std::erase_if(m_free_at, is_over);
+  std::erase_if(m_next_retry, is_unlimited);
+  std::erase_if(m_queue_positions, is_unlimited);
+  std::erase_if(m_next_permits, is_unlimited);
 }
 
-std::vector<RateLimits::PermitKeeper::KnownLimit> LimitedServers::KnownLimits() const
+std::vector<RateLimits::PermitAllocator::KnownLimit> LimitedServers::KnownLimits() const
 {
-  std::vector<RateLimits::PermitKeeper::KnownLimit> limits;
+  std::vector<RateLimits::PermitAllocator::KnownLimit> limits;
   std::ranges::transform(m_limited, std::back_inserter(limits), [](const ServerPtr& server) {
-    return RateLimits::PermitKeeper::KnownLimit{server->Key(), server->Limit()->rate,
-                                                server->Entry().data_centre};
+    return RateLimits::PermitAllocator::KnownLimit{server->Key(), server->Limit()->rate,
+                                                   server->Entry().data_centre};
   });
   return limits;
 }
@@ -147,28 +147,27 @@
     m_permits.Take(server.Key(), limit->rate, now);
 }
 
-void LimitedServers::SetPlaces(const std::vector<RateLimits::PlaceLine>& lines,
-                               Common::TimePoint now)
+void LimitedServers::SetQueuePositions(const std::vector<RateLimits::PositionLine>& lines,
+                                       Common::TimePoint now)
 {
-  for (const RateLimits::PlaceLine& line : lines)
+  for (const RateLimits::PositionLine& line : lines)
   {
-    m_ahead[line.server] = {line.ahead, now};
-    m_free_at[line.server] = {now + Milliseconds(line.free_in_ms), now};
+    m_queue_positions[line.server] = {line.ahead, now};
+    m_next_permits[line.server] = {now + Milliseconds(line.free_in_ms), now};
   }
 }
 
-Milliseconds LimitedServers::FreeIn(const Server& server, Common::TimePoint now) const
+Milliseconds LimitedServers::TimeToNextPermit(const Server& server, Common::TimePoint now) const
 {
-  const auto found = m_free_at.find(server.Key());
-  if (found != m_free_at.end() && now - found->second.told_at <= FREE_VALID)
+  const auto found = m_next_permits.find(server.Key());
+  if (found != m_next_permits.end() && now - found->second.announced_at <= NEXT_PERMIT_LIFETIME)
     return std::max(std::chrono::ceil<Milliseconds>(found->second.at - now), Milliseconds(0));
-  return std::chrono::ceil<Milliseconds>(
-      Seconds(1 / RateLimits::FlowPerSecond(server.Limit()->rate)));
+  return std::chrono::ceil<Milliseconds>(Seconds(1 / RateLimits::SendRate(server.Limit()->rate)));
 }
 
 Milliseconds LimitedServers::ExpectedWait(const Server& server) const
 {
-  return WaitBehind(server, static_cast<int>(CountOf(m_own_waiting, server.Key())));
+  return WaitBehind(server, static_cast<int>(CountOf(m_local_waiting, server.Key())));
 }
 
 Milliseconds LimitedServers::WaitBehind(const Server& server, int own) const
@@ -176,28 +175,28 @@
   const auto& limit = server.Limit();
   if (!limit)
     return Milliseconds(0);
-  const std::uint32_t in_all = CountOf(m_waiting, server.Key());
-  const std::uint32_t here = CountOf(m_own_waiting, server.Key());
-  std::uint32_t elsewhere = in_all > here ? in_all - here : 0;
-  const auto told = m_ahead.find(server.Key());
-  if (told != m_ahead.end() && Common::Now() - told->second.told_at <= AHEAD_VALID)
-    elsewhere = told->second.count;
+  const std::uint32_t total = CountOf(m_waiting, server.Key());
+  const std::uint32_t local = CountOf(m_local_waiting, server.Key());
+  std::uint32_t elsewhere = total > local ? total - local : 0;
+  const auto position = m_queue_positions.find(server.Key());
+  if (position != m_queue_positions.end() &&
+      Common::Now() - position->second.announced_at <= QUEUE_POSITION_LIFETIME)
+    elsewhere = position->second.count;
   const double ahead = static_cast<double>(elsewhere) + own;
   if (ahead == 0)
-    return FreeIn(server, Common::Now());
-  return std::chrono::ceil<Milliseconds>(
-      Seconds((ahead + 1) / RateLimits::FlowPerSecond(limit->rate)));
+    return TimeToNextPermit(server, Common::Now());
+  return std::chrono::ceil<Milliseconds>(Seconds((ahead + 1) / RateLimits::SendRate(limit->rate)));
 }
 
-Milliseconds LimitedServers::ComeBackAfter(const Server& server, Common::TimePoint now)
+Milliseconds LimitedServers::RetryDelay(const Server& server, Common::TimePoint now)
 {
   const auto& limit = server.Limit();
   if (!limit)
     return Milliseconds(0);
-  Common::TimePoint& next = m_next_return[server.Key()];
+  Common::TimePoint& next = m_next_retry[server.Key()];
   const auto after_others =
-      next + std::chrono::ceil<Milliseconds>(Seconds(1 / RateLimits::FlowPerSecond(limit->rate)));
-  next = std::min(std::max(now + ExpectedWait(server), after_others), now + LONGEST_RETURN);
+      next + std::chrono::ceil<Milliseconds>(Seconds(1 / RateLimits::SendRate(limit->rate)));
+  next = std::min(std::max(now + ExpectedWait(server), after_others), now + MAX_RETRY_DELAY);
   return std::chrono::ceil<Milliseconds>(next - now);
 }
 } // namespace Gateway
--- a/Source/Core/Gateway/ServerSignals.h
+++ b/Source/Core/Gateway/ServerSignals.h
@@ -17,7 +17,7 @@
 namespace Gateway
 {
 /// A header with an invalid value. The response is treated as if it lacked the header.
-struct UnreadableSignal
+struct InvalidHeader
 {
   std::string header;
   std::string value;
@@ -34,11 +34,11 @@
   /// Retry-After of a rejection: how long this VM should back off. Unset if there is none.
   std::optional<Common::Milliseconds> backoff;
   RateLimits::LimitReading limit;
-  std::vector<UnreadableSignal> unreadable; ///< Except the limit, see LimitReading.
+  std::vector<InvalidHeader> invalid; ///< Except the limit, see LimitReading.
 };
 
 /// Upper bound for a server's Retry-After; longer values are clamped.
-constexpr Common::Milliseconds LONGEST_BACKOFF = std::chrono::hours(24);
+constexpr Common::Milliseconds MAX_BACKOFF = std::chrono::hours(24);
 
 /// Parses the signals in the response headers. If a header occurs more than once, the strictest
 /// value applies: draining, the longest time, the lowest limit. Retry-After may be a number of
--- a/Source/Core/Serving/ServerWatch.h
+++ b/Source/Core/Serving/ServerWatch.h
@@ -72,7 +72,7 @@
   void ReturnPermit(Common::ClaimId claim);
 
   Decisions::ReconcileInput Describe(const Claim& claim);
-  Decisions::OrderKnowledge KnowledgeOf(const Claim& claim, Common::TimePoint* since) const;
+  Decisions::OrderStatus KnowledgeOf(const Claim& claim, Common::TimePoint* since) const;
   const BackendServers::LoadedArtifact* Reported(const Common::ArtifactId& id) const;
   bool IsMine(const Claim& claim) const;
   /// Whether the platform has removed the server's VM and the server no longer reports.
--- a/Source/UnitTests/Fuzz.cpp
+++ b/Source/UnitTests/Fuzz.cpp
@@ -97,7 +97,7 @@
   names.account = "Tenant";
   names.time_left_ms = "Left";
   names.expected_instance = "Want";
-  Gateway::ForwardedParts parts;
+  Gateway::AddedHeaders parts;
   parts.account = Accounts::AccountName("ours");
   const auto forwarded = ParseRequest(Gateway::ForwardedRequest(*request, names, parts));
   if (!forwarded)
@@ -183,7 +183,7 @@
       {"holder's datagram",
        Daemons::Encode(Orders::Envelope{{},
                                         {Orders::HolderReport{}},
-                                        {Orders::PermitAsk{}},
+                                        {Orders::PermitRequest{}},
                                         {Orders::PermitReply{}},
                                         {Orders::HolderReply{}}}),
        [](const std::string& bytes) {
--- a/Source/UnitTests/Gateway/PartsTest.cpp
+++ b/Source/UnitTests/Gateway/PartsTest.cpp
@@ -1,15 +1,15 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Small classes of the gateway: EventSplitter, RetryBudget, ServerHealth, ServerRoster, and the
+// Small classes of the gateway: EventSplitter, RetryBudget, ServerHealth, ServerDiscovery, and the
 // route lookup.
 
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "Gateway/EventSplitter.h"
 #include "Gateway/RetryBudget.h"
+#include "Gateway/ServerDiscovery.h"
 #include "Gateway/ServerHealth.h"
-#include "Gateway/ServerRoster.h"
 #include "UnitTests/Support/Loopback.h"
 
 namespace
@@ -20,17 +20,17 @@
 class GatewayPartsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(GatewayPartsTest);
-  CPPUNIT_TEST(EventsAreCutOnlyAtTheirEnd);
-  CPPUNIT_TEST(KnownEventsAreLeftOut);
-  CPPUNIT_TEST(TheBudgetFollowsOwnRequestsAndTheSharedSlack);
-  CPPUNIT_TEST(AFailingServerIsEjectedAndTriedWithOneRequest);
+  CPPUNIT_TEST(EventsAreSplitOnlyAtTheirEnd);
+  CPPUNIT_TEST(AlreadySentEventsAreSkipped);
+  CPPUNIT_TEST(BudgetCountsOwnRequestsAndAShareOfTheSlack);
+  CPPUNIT_TEST(FailingServerIsEjectedAndThenProbedWithOneRequest);
   CPPUNIT_TEST(TheLongestPrefixOfTheHostWins);
-  CPPUNIT_TEST(ALapsedEntryWaitsOutTheGrace);
-  CPPUNIT_TEST(ARemovalInCalmTimesHoldsAtOnce);
-  CPPUNIT_TEST(ADrainingServerGoesWithoutGrace);
+  CPPUNIT_TEST(LapsedEntryIsRemovedAfterTheGracePeriod);
+  CPPUNIT_TEST(RemovalIsImmediateWhileTheSourceIsConnected);
+  CPPUNIT_TEST(DrainingServerIsRemovedWithoutGracePeriod);
   CPPUNIT_TEST_SUITE_END();
 
-  void EventsAreCutOnlyAtTheirEnd()
+  void EventsAreSplitOnlyAtTheirEnd()
   {
     EventSplitter splitter;
     CPPUNIT_ASSERT_EQUAL(std::string(""), splitter.Feed("id: 1\ndata: a\n"));
@@ -40,7 +40,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("id: 2\nx\r\n\r\n"), splitter.Feed("x\r\n\r\n"));
   }
 
-  void KnownEventsAreLeftOut()
+  void AlreadySentEventsAreSkipped()
   {
     EventSplitter splitter;
     splitter.StartAfter(5);
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("data: x\n\n"), splitter.Feed("data: x\n\n"));
   }
 
-  void TheBudgetFollowsOwnRequestsAndTheSharedSlack()
+  void BudgetCountsOwnRequestsAndAShareOfTheSlack()
   {
     RetryBudget budget;
     budget.Configure({0.2, 40, Milliseconds(10000)});
@@ -68,7 +68,7 @@
     CPPUNIT_ASSERT(budget.Take(pool, now + Milliseconds(10001)));
   }
 
-  void AFailingServerIsEjectedAndTriedWithOneRequest()
+  void FailingServerIsEjectedAndThenProbedWithOneRequest()
   {
     ServerHealth health;
     auto now = Common::Now();
@@ -79,13 +79,13 @@
     CPPUNIT_ASSERT(health.IsEjected(now));
     now += Milliseconds(800);
     CPPUNIT_ASSERT(!health.IsEjected(now));
-    CPPUNIT_ASSERT(health.IsOnTrial());
+    CPPUNIT_ASSERT(health.IsRecovering());
     health.NoteFailure(now);
     now += Milliseconds(800);
     CPPUNIT_ASSERT(health.IsEjected(now));
     now += Milliseconds(800);
     health.NoteSuccess(now);
-    CPPUNIT_ASSERT(!health.IsOnTrial());
+    CPPUNIT_ASSERT(!health.IsRecovering());
   }
 
   void TheLongestPrefixOfTheHostWins()
@@ -114,42 +114,42 @@
     return entry;
   }
 
-  void ALapsedEntryWaitsOutTheGrace()
+  void LapsedEntryIsRemovedAfterTheGracePeriod()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
+    ServerDiscovery discovery(directory);
     const auto now = Common::Now();
-    roster.ApplyEntry(Entry("i-1"));
-    roster.ApplyEntry(Entry("i-2"));
-    roster.NoteSourceLost();
-    roster.NoteSourceBack(now);
-    roster.ApplySnapshot({}, now);
+    discovery.ApplyEntry(Entry("i-1"));
+    discovery.ApplyEntry(Entry("i-2"));
+    discovery.NoteStoreLost();
+    discovery.NoteStoreRestored(now);
+    discovery.ApplySnapshot({}, now);
     CPPUNIT_ASSERT(directory.Find(InstanceId("i-1")) != nullptr);
-    roster.ApplyEntry(Entry("i-1"));
+    discovery.ApplyEntry(Entry("i-1"));
     CPPUNIT_ASSERT(UnitTests::RunUntil([&] {
       return directory.Find(InstanceId("i-2")) == nullptr;
     }));
     CPPUNIT_ASSERT(directory.Find(InstanceId("i-1")) != nullptr);
   }
 
-  void ARemovalInCalmTimesHoldsAtOnce()
+  void RemovalIsImmediateWhileTheSourceIsConnected()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
-    roster.ApplyEntry(Entry("i-1"));
-    roster.ApplyRemoval(InstanceId("i-1"), Common::Now());
+    ServerDiscovery discovery(directory);
+    discovery.ApplyEntry(Entry("i-1"));
+    discovery.ApplyRemoval(InstanceId("i-1"), Common::Now());
     CPPUNIT_ASSERT(directory.Empty());
   }
 
-  void ADrainingServerGoesWithoutGrace()
+  void DrainingServerIsRemovedWithoutGracePeriod()
   {
     ServerDirectory directory;
-    ServerRoster roster(directory);
+    ServerDiscovery discovery(directory);
     const auto now = Common::Now();
-    roster.ApplyEntry(Entry("i-1", true));
-    roster.NoteSourceLost();
-    roster.NoteSourceBack(now);
-    roster.ApplyRemoval(InstanceId("i-1"), now);
+    discovery.ApplyEntry(Entry("i-1", true));
+    discovery.NoteStoreLost();
+    discovery.NoteStoreRestored(now);
+    discovery.ApplyRemoval(InstanceId("i-1"), now);
     CPPUNIT_ASSERT(directory.Empty());
   }
 };
--- a/Source/UnitTests/Gateway/ServerSignalsTest.cpp
+++ b/Source/UnitTests/Gateway/ServerSignalsTest.cpp
@@ -17,12 +17,12 @@
 class ServerSignalsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ServerSignalsTest);
-  CPPUNIT_TEST(AnAnswerWithoutSignalsTellsNothing);
-  CPPUNIT_TEST(DrainingIsTheNumberOne);
-  CPPUNIT_TEST(ARetryAfterIsSecondsOrADate);
-  CPPUNIT_TEST(OfSeveralValuesTheStrictestCounts);
-  CPPUNIT_TEST(OnlyRejectionsForLoadNameABackoff);
-  CPPUNIT_TEST(ARejectionSaysThatTheRequestHasNotRun);
+  CPPUNIT_TEST(ResponseWithoutHeadersHasNoSignals);
+  CPPUNIT_TEST(DrainingRequiresTheValueOne);
+  CPPUNIT_TEST(RetryAfterIsSecondsOrADate);
+  CPPUNIT_TEST(StrictestOfSeveralValuesApplies);
+  CPPUNIT_TEST(OnlyOverloadRejectionsHaveABackoff);
+  CPPUNIT_TEST(RejectionsMarkTheRequestAsNotRun);
   CPPUNIT_TEST_SUITE_END();
 
   static ServerSignals Read(int status, const std::vector<Http::HeaderField>& headers)
@@ -34,46 +34,46 @@
     return Read(503, {{"Retry-After", value}}).backoff;
   }
 
-  void AnAnswerWithoutSignalsTellsNothing()
+  void ResponseWithoutHeadersHasNoSignals()
   {
     const ServerSignals signals = Read(200, {{"Content-Length", "2"}});
     CPPUNIT_ASSERT(!signals.instance && !signals.not_run && !signals.draining);
     CPPUNIT_ASSERT(!signals.backoff && !signals.limit.rate && signals.limit.readable);
-    CPPUNIT_ASSERT(signals.unreadable.empty());
+    CPPUNIT_ASSERT(signals.invalid.empty());
   }
 
-  void DrainingIsTheNumberOne()
+  void DrainingRequiresTheValueOne()
   {
     CPPUNIT_ASSERT(Read(200, {{"leaving", "1 "}}).draining);
     CPPUNIT_ASSERT(!Read(200, {{"Leaving", "0"}}).draining);
-    CPPUNIT_ASSERT(Read(200, {{"Leaving", "0"}}).unreadable.empty());
+    CPPUNIT_ASSERT(Read(200, {{"Leaving", "0"}}).invalid.empty());
     for (const char* value : {"", "yes", "-1", "2", "1.0", "01"})
     {
       const ServerSignals signals = Read(200, {{"Leaving", value}});
       CPPUNIT_ASSERT_MESSAGE(value, !signals.draining);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(value, std::size_t{1}, signals.unreadable.size());
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(value, std::size_t{1}, signals.invalid.size());
     }
   }
 
-  void ARetryAfterIsSecondsOrADate()
+  void RetryAfterIsSecondsOrADate()
   {
     CPPUNIT_ASSERT(Backoff("3") == Milliseconds(3000));
     CPPUNIT_ASSERT(Backoff("1.5") == Milliseconds(1500));
     CPPUNIT_ASSERT(Backoff("0.0001") == Milliseconds(1));
     CPPUNIT_ASSERT(Backoff("0") == Milliseconds(0));
     CPPUNIT_ASSERT(Backoff("3600") == std::chrono::hours(1));
-    CPPUNIT_ASSERT(Backoff("99999999999999999999") == LONGEST_BACKOFF);
+    CPPUNIT_ASSERT(Backoff("99999999999999999999") == MAX_BACKOFF);
     CPPUNIT_ASSERT(Backoff("Sat, 03 Oct 2026 08:32:07 GMT") == Milliseconds(7000));
     CPPUNIT_ASSERT(Backoff("Sat, 03 Oct 2026 08:31:00 GMT") == Milliseconds(0));
     for (const char* value : {"", "-3", "soon", "1e3", "3 s", "nan"})
     {
       CPPUNIT_ASSERT_MESSAGE(value, !Backoff(value));
       CPPUNIT_ASSERT_EQUAL_MESSAGE(value, std::size_t{1},
-                                   Read(503, {{"Retry-After", value}}).unreadable.size());
+                                   Read(503, {{"Retry-After", value}}).invalid.size());
     }
   }
 
-  void OfSeveralValuesTheStrictestCounts()
+  void StrictestOfSeveralValuesApplies()
   {
     CPPUNIT_ASSERT(Read(200, {{"Leaving", "0"}, {"Leaving", "1"}}).draining);
     CPPUNIT_ASSERT(
@@ -83,14 +83,14 @@
                    RateLimits::RequestRate(2000));
   }
 
-  void OnlyRejectionsForLoadNameABackoff()
+  void OnlyOverloadRejectionsHaveABackoff()
   {
     CPPUNIT_ASSERT(Read(429, {{"Retry-After", "1"}}).backoff);
     for (const int status : {200, 301, 421, 500, 504})
       CPPUNIT_ASSERT(!Read(status, {{"Retry-After", "1"}}).backoff);
   }
 
-  void ARejectionSaysThatTheRequestHasNotRun()
+  void RejectionsMarkTheRequestAsNotRun()
   {
     CPPUNIT_ASSERT(Read(503, {{"Did-Not-Run", "1"}}).not_run);
     CPPUNIT_ASSERT(Read(421, {}).not_run);
--- a/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
+++ b/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
@@ -17,16 +17,16 @@
 class SilenceDetectorTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(SilenceDetectorTest);
-  CPPUNIT_TEST(WhoOwesNothingIsNotSilent);
-  CPPUNIT_TEST(SilenceCountsFromTheOldestUnansweredRequest);
-  CPPUNIT_TEST(OneUnansweredRequestIsNoSilence);
-  CPPUNIT_TEST(AnyByteEndsIt);
-  CPPUNIT_TEST(TheLimitFollowsThePausesSeen);
-  CPPUNIT_TEST(ASilentServerGetsNoNewRequests);
-  CPPUNIT_TEST(AServerThatWasSilentToItsLastRequestIsEjected);
+  CPPUNIT_TEST(ServerWithoutPendingRequestsIsNotSilent);
+  CPPUNIT_TEST(SilenceStartsAtTheOldestPendingRequest);
+  CPPUNIT_TEST(SinglePendingRequestIsNoSilence);
+  CPPUNIT_TEST(AnyReceivedDataEndsTheSilence);
+  CPPUNIT_TEST(LimitAdaptsToObservedPauses);
+  CPPUNIT_TEST(SilentServerGetsNoNewRequests);
+  CPPUNIT_TEST(ServerThatIsSilentToItsLastRequestIsEjected);
   CPPUNIT_TEST_SUITE_END();
 
-  void WhoOwesNothingIsNotSilent()
+  void ServerWithoutPendingRequestsIsNotSilent()
   {
     SilenceDetector detector;
     CPPUNIT_ASSERT(!detector.IsSilent(NOW));
@@ -35,7 +35,7 @@
     CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(10000)));
   }
 
-  void SilenceCountsFromTheOldestUnansweredRequest()
+  void SilenceStartsAtTheOldestPendingRequest()
   {
     SilenceDetector detector;
     detector.NoteSent(NOW);
@@ -44,7 +44,7 @@
     CPPUNIT_ASSERT(detector.IsSilent(NOW + Milliseconds(301)));
   }
 
-  void OneUnansweredRequestIsNoSilence()
+  void SinglePendingRequestIsNoSilence()
   {
     SilenceDetector detector;
     detector.NoteSent(NOW);
@@ -55,16 +55,16 @@
     CPPUNIT_ASSERT(server.IsAvailable(NOW + Milliseconds(1101)));
   }
 
-  void AnyByteEndsIt()
+  void AnyReceivedDataEndsTheSilence()
   {
     SilenceDetector detector;
     detector.NoteSent(NOW);
     detector.NoteSent(NOW);
-    detector.NoteHeard(NOW + Milliseconds(400));
+    detector.NoteReceived(NOW + Milliseconds(400));
     CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(500)));
   }
 
-  void TheLimitFollowsThePausesSeen()
+  void LimitAdaptsToObservedPauses()
   {
     SilenceDetector steady;
     SilenceDetector slow;
@@ -72,27 +72,27 @@
     slow.NoteSent(NOW);
     for (int i = 1; i <= 40; ++i)
     {
-      steady.NoteHeard(NOW + Milliseconds(30 * i));
-      slow.NoteHeard(NOW + Milliseconds(700 * i));
+      steady.NoteReceived(NOW + Milliseconds(30 * i));
+      slow.NoteReceived(NOW + Milliseconds(700 * i));
     }
     CPPUNIT_ASSERT_EQUAL(Milliseconds(300).count(), steady.Limit().count());
     CPPUNIT_ASSERT(slow.Limit() >= Milliseconds(700));
-    slow.NoteHeard(NOW + std::chrono::minutes(2));
+    slow.NoteReceived(NOW + std::chrono::minutes(2));
     CPPUNIT_ASSERT_EQUAL(Milliseconds(1500).count(), slow.Limit().count());
   }
 
-  void ASilentServerGetsNoNewRequests()
+  void SilentServerGetsNoNewRequests()
   {
     Server server(ServerEntry{});
     server.NoteStart({}, NOW);
     server.NoteStart({}, NOW);
     CPPUNIT_ASSERT(server.IsAvailable(NOW + Milliseconds(100)));
     CPPUNIT_ASSERT(!server.IsAvailable(NOW + Milliseconds(400)));
-    server.NoteHeard(NOW + Milliseconds(450));
+    server.NoteReceived(NOW + Milliseconds(450));
     CPPUNIT_ASSERT(server.IsAvailable(NOW + Milliseconds(500)));
   }
 
-  void AServerThatWasSilentToItsLastRequestIsEjected()
+  void ServerThatIsSilentToItsLastRequestIsEjected()
   {
     Server server(ServerEntry{});
     server.NoteStart({}, NOW);
@@ -100,10 +100,10 @@
     server.NoteEnd({}, NOW, NOW + Milliseconds(1900));
     server.NoteEnd({}, NOW, NOW + Milliseconds(2000));
     CPPUNIT_ASSERT(!server.IsAvailable(NOW + Milliseconds(2001)));
-    CPPUNIT_ASSERT(server.Health().IsOnTrial());
+    CPPUNIT_ASSERT(server.Health().IsRecovering());
     Server answered(ServerEntry{});
     answered.NoteStart({}, NOW);
-    answered.NoteHeard(NOW + Milliseconds(50));
+    answered.NoteReceived(NOW + Milliseconds(50));
     answered.NoteEnd({}, NOW, NOW + Milliseconds(60));
     CPPUNIT_ASSERT(answered.IsAvailable(NOW + Milliseconds(61)));
   }
--- a/Source/UnitTests/Orders/CrashArchiveTest.cpp
+++ b/Source/UnitTests/Orders/CrashArchiveTest.cpp
@@ -50,17 +50,17 @@
 {
   explicit Daemon(FakeRow& row) : archive(dispatcher, row.Access()) {}
 
-  void EndUnder(int server)
+  void CrashServer(int server)
   {
     Crashes::CaseLine line;
     line.request = CRASHER;
-    line.endings = {{Crashes::ServerLife("i-" + std::to_string(server)),
-                     (9 - server) * 1000,
-                     (9 - server) * 1000 + 300,
-                     {Common::VmId("vm")}}};
-    dispatcher.TakeCrashCases({line});
+    line.server_crashes = {{Crashes::ServerInstance("i-" + std::to_string(server)),
+                            (9 - server) * 1000,
+                            (9 - server) * 1000 + 300,
+                            {Common::VmId("vm")}}};
+    dispatcher.MergeCrashCases({line});
   }
-  bool IsBlocked() { return dispatcher.CrashCases().Judge(CRASHER, Common::Now()).blocked; }
+  bool IsBlocked() { return dispatcher.CrashCases().BlockStatusOf(CRASHER, Common::Now()).blocked; }
 
   Gateway::Dispatcher dispatcher{Gateway::DispatcherSettings{}};
   CrashArchive archive;
@@ -69,35 +69,35 @@
 class CrashArchiveTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CrashArchiveTest);
-  CPPUNIT_TEST(ADaemonThatStartsKnowsWhatIsBlocked);
-  CPPUNIT_TEST(TheHolderWritesOnlyWhatIsBlocked);
-  CPPUNIT_TEST(WithoutAHolderEndingsAddUpThroughTheRow);
-  CPPUNIT_TEST(WritesAgainWhereTheStoreWasDown);
-  CPPUNIT_TEST(ARowThatCannotBeReadChangesNothing);
+  CPPUNIT_TEST(StartedDaemonReadsBlockedRequests);
+  CPPUNIT_TEST(HolderWritesOnlyWhenBlockedRequestsChange);
+  CPPUNIT_TEST(WithoutAHolderCrashesAddUpThroughTheRow);
+  CPPUNIT_TEST(RetriesTheWriteAfterAStoreFailure);
+  CPPUNIT_TEST(MalformedRowIsIgnored);
   CPPUNIT_TEST_SUITE_END();
 
   /// All daemons are killed at once, and the same request is sent to the new ones.
-  void ADaemonThatStartsKnowsWhatIsBlocked()
+  void StartedDaemonReadsBlockedRequests()
   {
     FakeRow row;
     Daemon holder(row);
     for (int server = 1; server <= 3; ++server)
-      holder.EndUnder(server);
+      holder.CrashServer(server);
     holder.archive.Tick(ArchiveRole::Holder, Common::Now());
     Daemon started(row);
     started.archive.OnRow(row.row);
     CPPUNIT_ASSERT(started.IsBlocked());
   }
 
-  void TheHolderWritesOnlyWhatIsBlocked()
+  void HolderWritesOnlyWhenBlockedRequestsChange()
   {
     FakeRow row;
     Daemon holder(row);
-    holder.EndUnder(1);
-    holder.EndUnder(2);
+    holder.CrashServer(1);
+    holder.CrashServer(2);
     holder.archive.Tick(ArchiveRole::Holder, Common::Now());
     CPPUNIT_ASSERT_EQUAL(0, row.writes);
-    holder.EndUnder(3);
+    holder.CrashServer(3);
     for (int i = 0; i < 3; ++i)
       holder.archive.Tick(ArchiveRole::Holder, Common::Now());
     CPPUNIT_ASSERT_EQUAL(1, row.writes);
@@ -105,30 +105,30 @@
     CPPUNIT_ASSERT_EQUAL(1, row.writes);
   }
 
-  void WithoutAHolderEndingsAddUpThroughTheRow()
+  void WithoutAHolderCrashesAddUpThroughTheRow()
   {
     FakeRow row;
     Daemon first(row);
     Daemon second(row);
-    first.EndUnder(1);
-    first.EndUnder(2);
-    second.EndUnder(3);
-    first.archive.Tick(ArchiveRole::Orphan, Common::Now());
+    first.CrashServer(1);
+    first.CrashServer(2);
+    second.CrashServer(3);
+    first.archive.Tick(ArchiveRole::WithoutHolder, Common::Now());
     // `second` has not read the row yet: its write conflicts, which makes it read the row.
-    second.archive.Tick(ArchiveRole::Orphan, Common::Now());
+    second.archive.Tick(ArchiveRole::WithoutHolder, Common::Now());
     CPPUNIT_ASSERT(second.IsBlocked());
     UnitTests::RunFor(Milliseconds(400));
-    second.archive.Tick(ArchiveRole::Orphan, Common::Now());
+    second.archive.Tick(ArchiveRole::WithoutHolder, Common::Now());
     first.archive.OnRow(row.row);
     CPPUNIT_ASSERT(first.IsBlocked());
   }
 
-  void WritesAgainWhereTheStoreWasDown()
+  void RetriesTheWriteAfterAStoreFailure()
   {
     FakeRow row;
     Daemon holder(row);
     for (int server = 1; server <= 3; ++server)
-      holder.EndUnder(server);
+      holder.CrashServer(server);
     row.is_down = true;
     holder.archive.Tick(ArchiveRole::Holder, Common::Now());
     holder.archive.Tick(ArchiveRole::Holder, Common::Now());
@@ -139,7 +139,7 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(1), row.row.version);
   }
 
-  void ARowThatCannotBeReadChangesNothing()
+  void MalformedRowIsIgnored()
   {
     FakeRow row;
     Daemon daemon(row);
