--- a/Models/Claim.pml
+++ b/Models/Claim.pml
@@ -2,7 +2,7 @@
  * SPDX-License-Identifier: Apache-2.0
  *
  * Claim, fence, late order, quarantine. Stands for Source/Core/Decisions/Reconcile.cpp and
- * Source/Core/Serving/{ClaimLedger,ServerRow,ServerWatch}.cpp.
+ * Source/Core/Serving/{ClaimLedger,ServerRow,ServerController}.cpp.
  *
  * One replica slot, two backend servers, two daemons with two claims each. A daemon claims the slot
  * for a server in one compare-and-set and then sends one load order, any time later; the network
--- a/Source/Core/Callers/ChatRelay.cpp
+++ b/Source/Core/Callers/ChatRelay.cpp
@@ -78,7 +78,7 @@
     wanted.weight = request.context.service.weight;
     wanted.deadline = request.context.Deadline();
     wanted.affinity = request.affinity;
-    wanted.disliked = history->failed;
+    wanted.failed_servers = history->failed;
     Serving::Route route = co_await m_gateway.router.Acquire(request.artifact, wanted);
     if (const auto* refusal = std::get_if<Serving::Refusal>(&route))
       co_return CallFailure{refusal->failure, RunState::NotRun, refusal->retry_after};
@@ -131,7 +131,7 @@
         LogLevel::Warning, "chat.attempt_failed",
         {{"request", request.context.request}, {"server", grant.Server()}, {"reason", detail}});
     // What declined may serve again soon; what failed is this request's last choice.
-    m_gateway.router.NoteDeclined(request.artifact.id, grant.Server());
+    m_gateway.router.OnServerDeclined(request.artifact.id, grant.Server());
     if (kind != FailureKind::Overloaded)
       history->failed.insert(grant.Server());
     if (!MayRetry(request.context, *history))
--- a/Source/Core/Callers/PlainServices.cpp
+++ b/Source/Core/Callers/PlainServices.cpp
@@ -165,7 +165,7 @@
   const auto& environment = m_gateway.environment;
   std::vector<Table::BackendServer> servers;
   for (const auto& [vm, server] : environment.table.Current().BackendServers())
-    if (server.pool == call.service.pool && !environment.board.IsLeaving(vm))
+    if (server.pool == call.service.pool && !environment.server_statuses.IsLeaving(vm))
       servers.push_back(server);
   std::ranges::sort(servers, [&](const auto& left, const auto& right) {
     const bool left_local = left.data_centre == environment.DataCentre();
--- a/Source/Core/Daemon/Application.cpp
+++ b/Source/Core/Daemon/Application.cpp
@@ -14,9 +14,9 @@
 #include "Common/Log.h"
 #include "Common/Random.h"
 #include "Operators/OperatorsApi.h"
-#include "Serving/Keeper.h"
-#include "Serving/LoadPacer.h"
-#include "Serving/ModelHome.h"
+#include "Serving/LoadCoordinator.h"
+#include "Serving/LoadPermitAllocator.h"
+#include "Serving/ServerManager.h"
 
 namespace Daemon
 {
@@ -105,11 +105,11 @@
         link(LinkSettingsOf(settings), membership),
         table(store, link, membership, settings.table_poll),
         policies(PoliciesOf(settings)),
-        environment{store,   engine,   membership,        link, table, board,
-                    explain, policies, TimingOf(settings)},
-        keeper(environment),
-        pacer(environment),
-        home(environment),
+        environment{store,        engine,   membership,        link, table, server_statuses,
+                    decision_log, policies, TimingOf(settings)},
+        server_manager(environment),
+        load_permits(environment),
+        load_coordinator(environment),
         router(environment),
         gateway{environment, router, metrics, {}, Decisions::RetryBudget()},
         relay(gateway),
@@ -129,14 +129,14 @@
   Platform::Store store;
   Daemons::Link link;
   Serving::TableFollower table;
-  Serving::ServerBoard board;
-  Serving::ExplainRing explain;
+  Serving::ServerStatusRegistry server_statuses;
+  Serving::DecisionLog decision_log;
   Serving::Policies policies;
   Common::Metrics metrics;
   Serving::Environment environment;
-  Serving::Keeper keeper;
-  Serving::LoadPacer pacer;
-  Serving::ModelHome home;
+  Serving::ServerManager server_manager;
+  Serving::LoadPermitAllocator load_permits;
+  Serving::LoadCoordinator load_coordinator;
   Serving::Router router;
   Callers::Gateway gateway;
   Callers::ChatRelay relay;
@@ -193,8 +193,8 @@
     link.OnHeartbeat([this](const Daemons::Heartbeat& heartbeat) {
       OnHeartbeat(heartbeat);
     });
-    board.OnChange([this](const std::set<Common::ArtifactId>& artifacts) {
-      router.OnBoardChange(artifacts);
+    server_statuses.OnChange([this](const std::set<Common::ArtifactId>& artifacts) {
+      router.OnReplicasChanged(artifacts);
       AnnounceStatuses();
     });
   }
@@ -207,12 +207,12 @@
           "cold_start_exchange_rate", static_cast<std::int64_t>(DEFAULT_EXCHANGE_RATE));
       policies.retention = Decisions::CostRetention(static_cast<double>(rate));
     }
-    keeper.Rebalance();
+    server_manager.Rebalance();
   }
 
   void AnnounceStatuses()
   {
-    const std::int64_t version = keeper.Statuses().state_version;
+    const std::int64_t version = server_manager.Statuses().state_version;
     if (std::exchange(membership.Self().state_version, version) != version)
       link.Announce();
   }
@@ -237,25 +237,25 @@
     known_state[vm] = reply->state_version;
     known_incarnation[vm] = incarnation;
     for (const Daemons::ServerStatus& status : reply->servers)
-      board.Update(status, Now());
+      server_statuses.Update(status, Now());
   }
 
   Task<Daemons::Reply> Answer(Daemons::Call call)
   {
     if (auto* load = std::get_if<Daemons::LoadRequest>(&call))
-      co_return co_await home.EnsureLoaded(std::move(*load));
+      co_return co_await load_coordinator.EnsureLoaded(std::move(*load));
     if (auto* place = std::get_if<Daemons::PlaceOrder>(&call))
-      co_return co_await keeper.Place(std::move(*place));
+      co_return co_await server_manager.Place(std::move(*place));
     if (auto* permit = std::get_if<Daemons::PermitRequest>(&call))
-      co_return co_await pacer.Request(std::move(*permit));
+      co_return co_await load_permits.Request(std::move(*permit));
     if (const auto* pull = std::get_if<Daemons::TablePull>(&call))
       co_return table.Answer(*pull);
     if (const auto* returned = std::get_if<Daemons::PermitReturn>(&call))
     {
-      pacer.Return(returned->claim);
+      load_permits.Return(returned->claim);
       co_return Daemons::PermitReply{};
     }
-    co_return keeper.Statuses();
+    co_return server_manager.Statuses();
   }
 
   Task<void> FollowVmList()
@@ -266,7 +266,7 @@
       if (entries)
       {
         membership.SetListed(*entries, Now());
-        board.SetListed(*entries, Now());
+        server_statuses.SetListed(*entries, Now());
       }
       const auto peers = static_cast<std::int64_t>(membership.Peers().size());
       co_await Common::Sleep{std::max(VM_LIST_INTERVAL, VM_LIST_SHARE * peers)};
@@ -277,7 +277,7 @@
   {
     while (true)
     {
-      keeper.Rebalance();
+      server_manager.Rebalance();
       AnnounceStatuses();
       co_await Common::Sleep{REBALANCE_INTERVAL};
     }
@@ -307,8 +307,8 @@
   void RegisterOperators(const Operators::Tokens& tokens)
   {
     const Operators::Inspected inspected{gateway,
-                                         keeper,
-                                         pacer,
+                                         server_manager,
+                                         load_permits,
                                          [this] {
                                            return jobs.Running();
                                          },
--- a/Source/Core/Daemons/Messages.h
+++ b/Source/Core/Daemons/Messages.h
@@ -66,7 +66,7 @@
   }
 };
 
-/// What the keeper of a backend server knows of it.
+/// Status of a backend server, as known to the daemon that manages it.
 struct ServerStatus
 {
   Common::VmId vm;
@@ -92,7 +92,7 @@
   }
 };
 
-/// Entry daemon to the home of a model: make it servable.
+/// Entry daemon to the load coordinator of an artifact: make sure that a server serves it.
 struct LoadRequest
 {
   Common::ArtifactId artifact;
@@ -108,7 +108,7 @@
   }
 };
 
-/// The home's answer: where the model is served, or why it is not.
+/// Response of the load coordinator: the server of the artifact, or why there is none.
 struct LoadReply
 {
   Common::FailureKind failure = Common::FailureKind::None;
@@ -123,7 +123,8 @@
   }
 };
 
-/// Home to the keeper of a backend server: free these claims, then claim and load.
+/// Load coordinator to the daemon that manages a backend server: release these claims, then claim
+/// and load.
 struct PlaceOrder
 {
   Common::VmId server;
@@ -139,7 +140,8 @@
   }
 };
 
-/// The keeper's answer. `holders` names the backend servers where all slots are claimed already.
+/// Response of the managing daemon. `holders` names the backend servers where all slots are claimed
+/// already.
 struct PlaceReply
 {
   Common::FailureKind failure = Common::FailureKind::None;
@@ -201,7 +203,8 @@
   }
 };
 
-/// Keeper to the daemon that paces the weight store: asks to start one load from it.
+/// Managing daemon to the daemon that grants the permits for the weight store: requests a permit
+/// for one load.
 struct PermitRequest
 {
   Common::ClaimId claim;
--- a/Source/Core/Decisions/Reconcile.h
+++ b/Source/Core/Decisions/Reconcile.h
@@ -60,7 +60,7 @@
   bool settled = false;
 };
 
-/// Decides what the keeper does with one claim. The rules are described in docs/DESIGN.md,
+/// Decides what the managing daemon does with one claim. The rules are described in docs/DESIGN.md,
 /// "Claims", and verified by the model Models/Claim.pml.
 ReconcileAction Reconcile(const ReconcileInput& input);
 } // namespace Decisions
--- a/Source/Core/Operators/OperatorsApi.cpp
+++ b/Source/Core/Operators/OperatorsApi.cpp
@@ -159,7 +159,7 @@
     co_return;
   });
   Route(server, "/v1/explain", Role::Viewer, [this](Http::ExchangePtr exchange) -> Task<void> {
-    const Json found = m_inspected.gateway.environment.explain.Find(exchange->Query("key"));
+    const Json found = m_inspected.gateway.environment.decision_log.Find(exchange->Query("key"));
     exchange->RespondJson(STATUS_OK, {{"decisions", found}});
     co_return;
   });
@@ -185,7 +185,7 @@
     co_return Fail(*exchange, failure);
   }
   const Json body = {{"revision", table.CurrentRevision().Get()},
-                     {"rows", RowsAsJson(Table::PlainRows(table.Rows()))}};
+                     {"rows", RowsAsJson(Table::RowsWithoutVersions(table.Rows()))}};
   exchange->RespondJson(STATUS_OK, body);
 }
 
@@ -257,8 +257,8 @@
 Json OperatorsApi::ServersAsJson() const
 {
   Json servers = Json::array();
-  const auto& board = m_inspected.gateway.environment.board;
-  for (const auto& [vm, entry] : board.Entries())
+  const auto& server_statuses = m_inspected.gateway.environment.server_statuses;
+  for (const auto& [vm, entry] : server_statuses.Entries())
   {
     Json replicas = Json::array();
     for (const auto& replica : entry.status.replicas)
@@ -271,9 +271,9 @@
                           {"surplus", replica.surplus}});
     servers.push_back({{"vm", vm.Get()},
                        {"keeper", entry.status.keeper.Get()},
-                       {"kept_here", m_inspected.keeper.Keeps(vm)},
+                       {"kept_here", m_inspected.server_manager.Manages(vm)},
                        {"ready", entry.status.ready},
-                       {"leaving", board.IsLeaving(vm)},
+                       {"leaving", server_statuses.IsLeaving(vm)},
                        {"capacity_mb", entry.status.capacity.Get()},
                        {"claimed_mb", entry.status.claimed.Get()},
                        {"running", entry.status.running},
@@ -299,7 +299,8 @@
           {"open_exchanges", m_inspected.open_exchanges()},
           {"running_jobs", m_inspected.running_jobs()},
           {"loads",
-           {{"running", m_inspected.pacer.Running()}, {"waiting", m_inspected.pacer.Waiting()}}},
+           {{"running", m_inspected.load_permits.Running()},
+            {"waiting", m_inspected.load_permits.Waiting()}}},
           {"link",
            {{"heartbeats_sent", link.heartbeats_sent},
             {"heartbeats_received", link.heartbeats_received},
--- a/Source/Core/Operators/OperatorsApi.h
+++ b/Source/Core/Operators/OperatorsApi.h
@@ -9,8 +9,8 @@
 
 #include "Callers/CallContext.h"
 #include "Http/Server.h"
-#include "Serving/Keeper.h"
-#include "Serving/LoadPacer.h"
+#include "Serving/LoadPermitAllocator.h"
+#include "Serving/ServerManager.h"
 
 namespace Operators
 {
@@ -38,8 +38,8 @@
 struct Inspected
 {
   Callers::Gateway& gateway;
-  Serving::Keeper& keeper;
-  Serving::LoadPacer& pacer;
+  Serving::ServerManager& server_manager;
+  Serving::LoadPermitAllocator& load_permits;
   std::function<std::size_t()> running_jobs;
   std::function<std::size_t()> open_exchanges;
   std::function<bool()> ready;
--- a/Source/Core/Serving/ClaimLedger.cpp
+++ b/Source/Core/Serving/ClaimLedger.cpp
@@ -19,7 +19,7 @@
 constexpr int MAX_ROUNDS = 5;
 } // namespace
 
-Result<Done> AsDone(const Result<Platform::CommitOutcome>& outcome)
+Result<Done> RequireCommitted(const Result<Platform::CommitOutcome>& outcome)
 {
   if (!outcome)
     return outcome.Reason();
@@ -39,7 +39,7 @@
   if (!row)
     return row.Reason();
   if (!m_known || stored.version != m_version)
-    m_adopted_at = Common::Now();
+    m_row_received_at = Common::Now();
   m_row = std::move(*row);
   m_version = stored.version;
   m_known = true;
@@ -85,7 +85,7 @@
     {
       m_row = std::move(row);
       m_version = outcome->version;
-      m_adopted_at = Common::Now();
+      m_row_received_at = Common::Now();
       co_return *outcome;
     }
     const auto moved = std::ranges::find(outcome->conflicts, key, &Platform::StoredRow::key);
--- a/Source/Core/Serving/ClaimLedger.h
+++ b/Source/Core/Serving/ClaimLedger.h
@@ -14,7 +14,8 @@
 {
 /// Converts a commit that lost a compare-and-set into a failure, for callers that do not handle
 /// conflicts themselves.
-Common::Result<Common::Done> AsDone(const Common::Result<Platform::CommitOutcome>& outcome);
+Common::Result<Common::Done>
+RequireCommitted(const Common::Result<Platform::CommitOutcome>& outcome);
 
 /// The claims of one backend server, stored in the platform. Each change is a compare-and-set of
 /// the server's row; the changes of this daemon are serialized by a mutex.
@@ -31,7 +32,7 @@
   const ServerRow& Row() const { return m_row; }
   std::int64_t Version() const { return m_version; }
   /// When this daemon read or wrote the current version of the row.
-  Common::TimePoint AdoptedAt() const { return m_adopted_at; }
+  Common::TimePoint RowReceivedAt() const { return m_row_received_at; }
 
   /// Reads the row from the platform; an older version does not replace a newer one.
   Common::Task<Common::Result<Common::Done>> Refresh();
@@ -50,7 +51,7 @@
   ServerRow m_row;
   std::int64_t m_version = 0;
   bool m_known = false;
-  Common::TimePoint m_adopted_at;
+  Common::TimePoint m_row_received_at;
   Common::Mutex m_mutex;
 };
 } // namespace Serving
--- a/Source/Core/Serving/ExplainRing.cpp
+++ b/Source/Core/Serving/DecisionLog.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Serving/ExplainRing.h"
+#include "Serving/DecisionLog.h"
 
 #include <algorithm>
 #include <chrono>
@@ -13,7 +13,7 @@
 constexpr std::size_t MAX_ENTRIES = 2000;
 }
 
-void ExplainRing::Add(std::string_view decision, const std::vector<std::string>& keys,
+void DecisionLog::Add(std::string_view decision, const std::vector<std::string>& keys,
                       Common::Json figures)
 {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
@@ -24,7 +24,7 @@
     m_entries.pop_front();
 }
 
-Common::Json ExplainRing::Find(const std::string& key) const
+Common::Json DecisionLog::Find(const std::string& key) const
 {
   Common::Json found = Common::Json::array();
   for (const Entry& entry : m_entries)
--- a/Source/Core/Serving/ExplainRing.h
+++ b/Source/Core/Serving/DecisionLog.h
@@ -12,7 +12,7 @@
 namespace Serving
 {
 /// Ring buffer of the most recent decisions of this daemon, for `drumpond explain`.
-class ExplainRing
+class DecisionLog
 {
 public:
   /// Records a decision. `keys` are the ids of the request, artifact and server it concerns.
--- a/Source/Core/Serving/Environment.cpp
+++ b/Source/Core/Serving/Environment.cpp
@@ -8,16 +8,16 @@
 
 namespace Serving
 {
-std::optional<Common::VmId> KeeperOf(const Environment& environment,
-                                     const Table::BackendServer& server)
+std::optional<Common::VmId> ManagerOf(const Environment& environment,
+                                      const Table::BackendServer& server)
 {
   return Decisions::PickByRendezvous(
       "keeper/" + server.vm.Get(),
       environment.membership.LiveIn(server.data_centre, Common::Now()));
 }
 
-std::optional<Common::VmId> HomeOf(const Environment& environment,
-                                   const Common::ArtifactId& artifact)
+std::optional<Common::VmId> LoadCoordinatorOf(const Environment& environment,
+                                              const Common::ArtifactId& artifact)
 {
   return Decisions::PickByRendezvous(
       "home/" + artifact.Get(),
@@ -27,7 +27,7 @@
 bool TakesWork(const Environment& environment, const Common::VmId& server)
 {
   const Table::BackendServer* row = environment.table.Current().FindBackendServer(server);
-  if (!row || !environment.board.TakesWork(server))
+  if (!row || !environment.server_statuses.TakesWork(server))
     return false;
   return row->data_centre == environment.DataCentre() ||
          !environment.membership.LiveIn(row->data_centre, Common::Now()).empty();
@@ -36,6 +36,6 @@
 bool IsServing(const Environment& environment, const Common::VmId& server,
                const Common::ArtifactId& artifact)
 {
-  return environment.board.IsServing(server, artifact) && TakesWork(environment, server);
+  return environment.server_statuses.IsServing(server, artifact) && TakesWork(environment, server);
 }
 } // namespace Serving
--- a/Source/Core/Serving/Environment.h
+++ b/Source/Core/Serving/Environment.h
@@ -8,9 +8,9 @@
 #include "Daemons/Link.h"
 #include "Daemons/Membership.h"
 #include "Platform/Store.h"
-#include "Serving/ExplainRing.h"
+#include "Serving/DecisionLog.h"
 #include "Serving/Policies.h"
-#include "Serving/ServerBoard.h"
+#include "Serving/ServerStatusRegistry.h"
 #include "Serving/TableFollower.h"
 
 namespace Serving
@@ -41,8 +41,8 @@
   Daemons::Membership& membership;
   Daemons::Link& link;
   TableFollower& table;
-  ServerBoard& board;
-  ExplainRing& explain;
+  ServerStatusRegistry& server_statuses;
+  DecisionLog& decision_log;
   Policies& policies;
   Timing timing;
 
@@ -52,12 +52,12 @@
 
 /// Returns the daemon that manages a backend server, chosen by rendezvous hashing over the live
 /// daemons of the server's data centre.
-std::optional<Common::VmId> KeeperOf(const Environment& environment,
-                                     const Table::BackendServer& server);
+std::optional<Common::VmId> ManagerOf(const Environment& environment,
+                                      const Table::BackendServer& server);
 /// Returns the daemon of this data centre that decides on the loads of an artifact, chosen by
 /// rendezvous hashing.
-std::optional<Common::VmId> HomeOf(const Environment& environment,
-                                   const Common::ArtifactId& artifact);
+std::optional<Common::VmId> LoadCoordinatorOf(const Environment& environment,
+                                              const Common::ArtifactId& artifact);
 /// Whether the server may get new work: it is ready, not leaving, and its data centre is this one
 /// or has a live daemon. A data centre without live daemons is considered unreachable.
 bool TakesWork(const Environment& environment, const Common::VmId& server);
--- a/Source/Core/Serving/ModelHome.cpp
+++ b/Source/Core/Serving/LoadCoordinator.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Serving/ModelHome.h"
+#include "Serving/LoadCoordinator.h"
 
 #include <algorithm>
 
@@ -27,7 +27,7 @@
 using Daemons::ServerStatus;
 using Decisions::CacheLevel;
 
-constexpr Milliseconds BOARD_POLL{5};
+constexpr Milliseconds STATUS_POLL{5};
 constexpr Milliseconds RETRY_PAUSE{50};
 constexpr std::int64_t RETRY_AFTER_PLATFORM_MS = 5000;
 constexpr std::int64_t RETRY_AFTER_MEMORY_MS = 1000;
@@ -69,14 +69,15 @@
 }
 } // namespace
 
-Task<LoadReply> ModelHome::EnsureLoaded(LoadRequest request)
+Task<LoadReply> LoadCoordinator::EnsureLoaded(LoadRequest request)
 {
   const TimePoint deadline = Now() + Milliseconds(request.patience_ms);
   const auto catalog = m_environment.table.Share();
   const Table::Artifact* artifact = catalog->FindArtifact(request.artifact);
   if (!artifact)
     co_return Refuse(FailureKind::NotFound, "the table has no " + request.artifact.Get(), 0);
-  if (const auto deciding = m_deciding.find(request.artifact); deciding != m_deciding.end())
+  if (const auto deciding = m_pending_decisions.find(request.artifact);
+      deciding != m_pending_decisions.end())
   {
     const auto shared = deciding->second;
     const auto reply = co_await shared->WaitUntil(deadline);
@@ -86,24 +87,24 @@
                      "the load did not complete before the deadline", RETRY_AFTER_MEMORY_MS);
   }
   const auto shared = std::make_shared<Shared>();
-  m_deciding[request.artifact] = shared;
+  m_pending_decisions[request.artifact] = shared;
   const Table::Artifact copy = *artifact;
   LoadReply reply = co_await Decide(copy, request);
-  m_deciding.erase(request.artifact);
+  m_pending_decisions.erase(request.artifact);
   shared->Set(reply);
   co_return reply;
 }
 
-Task<LoadReply> ModelHome::Decide(Table::Artifact artifact, LoadRequest request)
+Task<LoadReply> LoadCoordinator::Decide(Table::Artifact artifact, LoadRequest request)
 {
   const TimePoint deadline = Now() + Milliseconds(request.patience_ms);
-  const auto loaded = m_environment.board.With(artifact.id, ReplicaState::Loaded);
+  const auto loaded = m_environment.server_statuses.With(artifact.id, ReplicaState::Loaded);
   const auto serving = std::ranges::find_if(loaded, [&](const VmId& vm) {
     return IsServing(m_environment, vm, artifact.id);
   });
   if (serving != loaded.end() && !request.more)
     co_return ServedBy(*serving);
-  const auto ordered = m_environment.board.With(artifact.id, ReplicaState::Ordered);
+  const auto ordered = m_environment.server_statuses.With(artifact.id, ReplicaState::Ordered);
   const bool full = static_cast<std::int64_t>(loaded.size() + ordered.size()) >= artifact.replicas;
   if (!ordered.empty() && (full || serving == loaded.end()))
     co_return co_await WaitForReplica(artifact.id, ordered, deadline);
@@ -112,7 +113,8 @@
   co_return co_await LoadSomewhere(artifact, request);
 }
 
-MegaBytes ModelHome::MemoryNeeded(const Table::Artifact& artifact, const ServerStatus& status) const
+MegaBytes LoadCoordinator::MemoryNeeded(const Table::Artifact& artifact,
+                                        const ServerStatus& status) const
 {
   MegaBytes needed = artifact.memory;
   const Table::Artifact* base = m_environment.table.Current().FindArtifact(artifact.base);
@@ -121,29 +123,30 @@
   return needed;
 }
 
-bool ModelHome::CanHold(const Table::Artifact& artifact, const ServerStatus& status) const
+bool LoadCoordinator::CanHold(const Table::Artifact& artifact, const ServerStatus& status) const
 {
   const Table::Artifact* base = m_environment.table.Current().FindArtifact(artifact.base);
   if (!base || HasClaim(status, artifact.base))
     return true;
-  const auto claimed = std::ranges::count_if(m_environment.board.Entries(), [&](const auto& item) {
-    return HasClaim(item.second.status, artifact.base);
-  });
+  const auto claimed =
+      std::ranges::count_if(m_environment.server_statuses.Entries(), [&](const auto& item) {
+        return HasClaim(item.second.status, artifact.base);
+      });
   return claimed < base->replicas;
 }
 
 std::vector<Decisions::PlacementCandidate>
-ModelHome::Candidates(const Table::Artifact& artifact) const
+LoadCoordinator::Candidates(const Table::Artifact& artifact) const
 {
   const Table::Catalog& catalog = m_environment.table.Current();
   std::vector<Decisions::PlacementCandidate> candidates;
   for (const auto& [vm, server] : catalog.BackendServers())
   {
-    const ServerBoard::Entry* entry = m_environment.board.Find(vm);
+    const ServerStatusRegistry::Entry* entry = m_environment.server_statuses.Find(vm);
     if (server.pool != artifact.pool || !entry || !TakesWork(m_environment, vm))
       continue;
     const ServerStatus& status = entry->status;
-    if (!KeeperOf(m_environment, server) || !CanHold(artifact, status))
+    if (!ManagerOf(m_environment, server) || !CanHold(artifact, status))
       continue;
     Decisions::PlacementCandidate candidate;
     candidate.server = vm;
@@ -159,7 +162,7 @@
     candidate.running = status.running;
     for (const ReplicaStatus& replica : status.replicas)
     {
-      const Milliseconds idle_time = ServerBoard::IdleTime(*entry, replica, Now());
+      const Milliseconds idle_time = ServerStatusRegistry::IdleTime(*entry, replica, Now());
       const bool needed_as_base =
           replica.artifact == artifact.base ||
           std::ranges::any_of(status.replicas, [&](const ReplicaStatus& other) {
@@ -185,10 +188,10 @@
   return candidates;
 }
 
-bool ModelHome::MayGetRoom(const Table::Artifact& artifact) const
+bool LoadCoordinator::CanFreeMemory(const Table::Artifact& artifact) const
 {
   const Table::Catalog& catalog = m_environment.table.Current();
-  return std::ranges::any_of(m_environment.board.Entries(), [&](const auto& item) {
+  return std::ranges::any_of(m_environment.server_statuses.Entries(), [&](const auto& item) {
     const ServerStatus& status = item.second.status;
     const Table::BackendServer* server = catalog.FindBackendServer(item.first);
     if (!server || server->pool != artifact.pool || !CanHold(artifact, status) ||
@@ -202,7 +205,7 @@
   });
 }
 
-Task<LoadReply> ModelHome::LoadSomewhere(Table::Artifact artifact, LoadRequest request)
+Task<LoadReply> LoadCoordinator::LoadSomewhere(Table::Artifact artifact, LoadRequest request)
 {
   const TimePoint deadline = Now() + Milliseconds(request.patience_ms);
   if (artifact.replicas <= 0)
@@ -226,19 +229,19 @@
     {
       placed.failure = FailureKind::Overloaded;
       placed.detail = "no backend server has room for " + artifact.id.Get();
-      if (!MayGetRoom(artifact))
+      if (!CanFreeMemory(artifact))
         break;
       co_await Common::Sleep{RETRY_PAUSE};
       continue;
     }
     ++attempts;
-    m_environment.explain.Add("place",
-                              {request.request.Get(), artifact.id.Get(), placement->server.Get()},
-                              {{"server", placement->server.Get()},
-                               {"why", placement->reason},
-                               {"evicted", placement->evict.size()},
-                               {"candidates", candidates.size()},
-                               {"waiting", request.waiting}});
+    m_environment.decision_log.Add(
+        "place", {request.request.Get(), artifact.id.Get(), placement->server.Get()},
+        {{"server", placement->server.Get()},
+         {"why", placement->reason},
+         {"evicted", placement->evict.size()},
+         {"candidates", candidates.size()},
+         {"waiting", request.waiting}});
     Daemons::PlaceOrder order;
     order.server = placement->server;
     order.artifact = artifact.id;
@@ -247,18 +250,18 @@
     const auto left = std::chrono::duration_cast<Milliseconds>(deadline - Now());
     order.patience_ms = left.count();
     const auto* server = m_environment.table.Current().FindBackendServer(placement->server);
-    const auto keeper = server ? KeeperOf(m_environment, *server) : std::nullopt;
-    if (!keeper)
+    const auto manager = server ? ManagerOf(m_environment, *server) : std::nullopt;
+    if (!manager)
     {
       co_await Common::Sleep{RETRY_PAUSE};
       continue;
     }
-    const auto answer = co_await m_environment.link.Ask(*keeper, Daemons::Call(order), left);
+    const auto answer = co_await m_environment.link.Ask(*manager, Daemons::Call(order), left);
     const auto* reply = answer ? std::get_if<PlaceReply>(&*answer) : nullptr;
     if (!reply)
     {
       // The daemon may have committed the claim before contact was lost. This shows up in the
-      // server board or as a conflict of the next attempt.
+      // status registry or as a conflict of the next attempt.
       placed.failure = FailureKind::Unavailable;
       placed.detail = "the daemon that manages " + placement->server.Get() + " does not respond";
       co_await Common::Sleep{RETRY_PAUSE};
@@ -272,7 +275,8 @@
     if (placed.failure == FailureKind::DeadlineUnmeetable)
       break;
     // The server is out of memory according to the daemon that manages it, which has newer data
-    // than the board. Retry as for any lack of memory, without counting a failed placement.
+    // than the status registry. Retry as for any lack of memory, without counting a failed
+    // placement.
     if (placed.failure == FailureKind::Overloaded)
       --attempts;
     co_await Common::Sleep{RETRY_PAUSE};
@@ -284,8 +288,8 @@
 
 /// Waits until one of the servers with a claim on the artifact serves it, in this or another data
 /// centre. Called if no further slot can or needs to be claimed.
-Task<LoadReply> ModelHome::WaitForReplica(ArtifactId artifact, std::vector<VmId> servers,
-                                          TimePoint deadline)
+Task<LoadReply> LoadCoordinator::WaitForReplica(ArtifactId artifact, std::vector<VmId> servers,
+                                                TimePoint deadline)
 {
   while (Now() < deadline)
   {
@@ -295,8 +299,9 @@
     if (serving != servers.end())
       co_return ServedBy(*serving);
     // The claims may have been released, in which case there is nothing to wait for.
-    const bool claimed = !m_environment.board.With(artifact, ReplicaState::Ordered).empty() ||
-                         !m_environment.board.With(artifact, ReplicaState::Loaded).empty();
+    const bool claimed =
+        !m_environment.server_statuses.With(artifact, ReplicaState::Ordered).empty() ||
+        !m_environment.server_statuses.With(artifact, ReplicaState::Loaded).empty();
     const bool reachable = std::ranges::any_of(servers, [&](const VmId& vm) {
       return TakesWork(m_environment, vm);
     });
@@ -307,11 +312,11 @@
     if (!claimed)
     {
       co_await Common::Sleep{RETRY_PAUSE};
-      if (m_environment.board.With(artifact, ReplicaState::Ordered).empty())
+      if (m_environment.server_statuses.With(artifact, ReplicaState::Ordered).empty())
         co_return Refuse(FailureKind::Conflict, "the claims on the replicas have changed",
                          RETRY_AFTER_MEMORY_MS);
     }
-    co_await Common::Sleep{BOARD_POLL};
+    co_await Common::Sleep{STATUS_POLL};
   }
   co_return Refuse(FailureKind::DeadlineUnmeetable, "no replica was loaded before the deadline",
                    RETRY_AFTER_MEMORY_MS);
--- a/Source/Core/Serving/ModelHome.h
+++ b/Source/Core/Serving/LoadCoordinator.h
@@ -16,10 +16,10 @@
 /// Decides on the loads of the artifacts that hashing assigns to this daemon. Collects the demand
 /// of all entry daemons of the data centre, so that a burst at many of them leads to one load
 /// decision.
-class ModelHome
+class LoadCoordinator
 {
 public:
-  explicit ModelHome(Environment& environment) : m_environment(environment) {}
+  explicit LoadCoordinator(Environment& environment) : m_environment(environment) {}
 
   /// Makes sure that a server serves the artifact. Returns this server, or the reason why there is
   /// none.
@@ -40,11 +40,11 @@
   bool CanHold(const Table::Artifact& artifact, const Daemons::ServerStatus& status) const;
   /// Whether some server would have enough memory once its replicas have become idle and can be
   /// evicted.
-  bool MayGetRoom(const Table::Artifact& artifact) const;
+  bool CanFreeMemory(const Table::Artifact& artifact) const;
   Common::MegaBytes MemoryNeeded(const Table::Artifact& artifact,
                                  const Daemons::ServerStatus& status) const;
 
   Environment& m_environment;
-  std::map<Common::ArtifactId, std::shared_ptr<Shared>> m_deciding;
+  std::map<Common::ArtifactId, std::shared_ptr<Shared>> m_pending_decisions;
 };
 } // namespace Serving
--- a/Source/Core/Serving/LoadPacer.cpp
+++ b/Source/Core/Serving/LoadPermitAllocator.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Serving/LoadPacer.h"
+#include "Serving/LoadPermitAllocator.h"
 
 #include <algorithm>
 
@@ -12,13 +12,13 @@
 using Common::Milliseconds;
 using Common::Now;
 
-constexpr std::int64_t DEFAULT_AT_ONCE = 4;
+constexpr std::int64_t DEFAULT_CONCURRENT_LOADS = 4;
 constexpr std::int64_t DEFAULT_STARTS_PER_SECOND = 3;
 /// A permit that is not returned, for example because its daemon crashed, expires after this time.
 constexpr std::chrono::minutes PERMIT_LIFETIME{2};
 } // namespace
 
-Common::Task<Daemons::PermitReply> LoadPacer::Request(Daemons::PermitRequest request)
+Common::Task<Daemons::PermitReply> LoadPermitAllocator::Request(Daemons::PermitRequest request)
 {
   Waiter waiter;
   waiter.load.claim = request.claim;
@@ -28,26 +28,26 @@
   waiter.load.waiting = request.waiting;
   m_waiting.push_back(waiter);
   Dispatch();
-  const auto turn = co_await waiter.turn.WaitUntil(waiter.load.deadline);
+  const auto permit = co_await waiter.permit.WaitUntil(waiter.load.deadline);
   std::erase_if(m_waiting, [&](const Waiter& item) {
     return item.load.claim == request.claim;
   });
   Daemons::PermitReply reply;
-  reply.granted = turn.value_or(false);
+  reply.granted = permit.value_or(false);
   co_return reply;
 }
 
-void LoadPacer::Return(const Common::ClaimId& claim)
+void LoadPermitAllocator::Return(const Common::ClaimId& claim)
 {
   m_running.erase(claim);
   Dispatch();
 }
 
-void LoadPacer::Dispatch()
+void LoadPermitAllocator::Dispatch()
 {
   const auto& table = m_environment.table.Current();
-  const auto at_once =
-      static_cast<std::size_t>(table.SettingNumber("weight_store_at_once", DEFAULT_AT_ONCE));
+  const auto at_once = static_cast<std::size_t>(
+      table.SettingNumber("weight_store_at_once", DEFAULT_CONCURRENT_LOADS));
   const std::int64_t rate = std::max<std::int64_t>(
       1, table.SettingNumber("weight_store_starts_per_second", DEFAULT_STARTS_PER_SECOND));
   const auto now = Now();
@@ -69,7 +69,7 @@
     m_waiting.erase(m_waiting.begin() + static_cast<std::ptrdiff_t>(*next));
     m_running.emplace(chosen.load.claim, now);
     m_next_start = now + Milliseconds(1000 / rate);
-    chosen.turn.Set(true);
+    chosen.permit.Set(true);
   }
   if (m_waiting.empty() || m_scheduled || now >= m_next_start)
     return;
--- a/Source/Core/Serving/LoadPacer.h
+++ b/Source/Core/Serving/LoadPermitAllocator.h
@@ -17,10 +17,10 @@
 /// Rendezvous hashing picks one daemon that grants the permits for all daemons. Two at once, during
 /// a network partition between regions, only slow the loads down; correctness does not depend on
 /// it.
-class LoadPacer
+class LoadPermitAllocator
 {
 public:
-  explicit LoadPacer(Environment& environment) : m_environment(environment) {}
+  explicit LoadPermitAllocator(Environment& environment) : m_environment(environment) {}
 
   Common::Task<Daemons::PermitReply> Request(Daemons::PermitRequest request);
   void Return(const Common::ClaimId& claim);
@@ -31,7 +31,7 @@
   struct Waiter
   {
     Decisions::WaitingLoad load;
-    Common::Completion<bool> turn;
+    Common::Completion<bool> permit;
   };
 
   void Dispatch();
--- a/Source/Core/Serving/Router.cpp
+++ b/Source/Core/Serving/Router.cpp
@@ -23,8 +23,8 @@
 using Daemons::LoadReply;
 using Daemons::LoadRequest;
 
-constexpr Milliseconds AVOID_DECLINED{400};
-constexpr Milliseconds HOME_RETRY{50};
+constexpr Milliseconds AVOID_AFTER_DECLINE{400};
+constexpr Milliseconds LOAD_REQUEST_RETRY{50};
 constexpr Milliseconds RETRY_AFTER_DEADLINE{1000};
 constexpr std::int64_t DEFAULT_LIMIT = 64;
 
@@ -75,8 +75,9 @@
   input.until_deadline = Left(deadline);
   input.waiting = queue.waiters.size();
   input.service_time = queue.mean_service;
-  for (const VmId& vm : m_environment.board.With(artifact.id, Daemons::ReplicaState::Loaded))
-    if (const auto* entry = m_environment.board.Find(vm))
+  for (const VmId& vm :
+       m_environment.server_statuses.With(artifact.id, Daemons::ReplicaState::Loaded))
+    if (const auto* entry = m_environment.server_statuses.Find(vm))
       input.slots += artifact.limit > 0 ? artifact.limit : entry->status.max_running;
   if (!Decisions::CanMeetDeadline(input))
   {
@@ -127,14 +128,15 @@
 {
   std::vector<Decisions::RouteCandidate> candidates;
   const auto now = Now();
-  for (const VmId& vm : m_environment.board.With(queue.artifact.id, Daemons::ReplicaState::Loaded))
+  for (const VmId& vm :
+       m_environment.server_statuses.With(queue.artifact.id, Daemons::ReplicaState::Loaded))
   {
     const auto avoided = queue.avoided_until.find(vm);
     if (!IsServing(m_environment, vm, queue.artifact.id) ||
         (avoided != queue.avoided_until.end() && now < avoided->second))
       continue;
     const auto* server = m_environment.table.Current().FindBackendServer(vm);
-    const auto* entry = m_environment.board.Find(vm);
+    const auto* entry = m_environment.server_statuses.Find(vm);
     if (!server || !entry)
       continue;
     Decisions::RouteCandidate candidate;
@@ -147,18 +149,18 @@
       candidate.limit = DEFAULT_LIMIT;
     candidates.push_back(candidate);
   }
-  const auto is_disliked = [&request](const Decisions::RouteCandidate& candidate) {
-    return request.disliked.contains(candidate.server);
+  const auto has_failed_request = [&request](const Decisions::RouteCandidate& candidate) {
+    return request.failed_servers.contains(candidate.server);
   };
-  if (!std::ranges::all_of(candidates, is_disliked))
-    std::erase_if(candidates, is_disliked);
+  if (!std::ranges::all_of(candidates, has_failed_request))
+    std::erase_if(candidates, has_failed_request);
   return candidates;
 }
 
 void Router::Dispatch(ArtifactQueue& queue)
 {
   bool saturated = false;
-  std::vector<Decisions::QueuedRequest> passed_over;
+  std::vector<Decisions::QueuedRequest> skipped;
   while (!queue.waiters.empty())
   {
     const auto next = std::visit(
@@ -181,34 +183,34 @@
     if (!chosen)
     {
       saturated = saturated || !candidates.empty();
-      passed_over.push_back(*next);
+      skipped.push_back(*next);
       // No later request has other candidates, unless this one excludes servers.
-      if (request.disliked.empty())
+      if (request.failed_servers.empty())
         break;
       continue;
     }
     const VmId server = candidates[*chosen].server;
     ++queue.in_flight[server];
-    m_environment.explain.Add("route",
-                              {request.request.Get(), queue.artifact.id.Get(), server.Get()},
-                              {{"server", server.Get()},
-                               {"candidates", candidates.size()},
-                               {"own_running", candidates[*chosen].own_running},
-                               {"reported_running", candidates[*chosen].reported_running}});
+    m_environment.decision_log.Add("route",
+                                   {request.request.Get(), queue.artifact.id.Get(), server.Get()},
+                                   {{"server", server.Get()},
+                                    {"candidates", candidates.size()},
+                                    {"own_running", candidates[*chosen].own_running},
+                                    {"reported_running", candidates[*chosen].reported_running}});
     found->second.decided.Set(Decision(server));
     queue.waiters.erase(found);
   }
-  for (const Decisions::QueuedRequest& request : passed_over)
+  for (const Decisions::QueuedRequest& request : skipped)
     std::visit(
         [&](auto& policy) {
           policy.Push(request);
         },
         queue.queue);
   const auto replicas = static_cast<std::int64_t>(
-      m_environment.board.With(queue.artifact.id, Daemons::ReplicaState::Loaded).size());
+      m_environment.server_statuses.With(queue.artifact.id, Daemons::ReplicaState::Loaded).size());
   const bool may_grow = !saturated || replicas < queue.artifact.replicas;
-  if (!queue.waiters.empty() && may_grow && !std::exchange(queue.asking, true))
-    Common::Spawn(AskHome(queue.artifact.id));
+  if (!queue.waiters.empty() && may_grow && !std::exchange(queue.requesting_loads, true))
+    Common::Spawn(RequestLoads(queue.artifact.id));
 }
 
 Milliseconds Router::Patience(const ArtifactQueue& queue) const
@@ -219,26 +221,26 @@
   return longest;
 }
 
-/// Requests loads from the daemon that decides on them (HomeOf) for as long as requests wait. If
-/// that daemon fails, hashing selects another one for the next attempt.
-Task<void> Router::AskHome(ArtifactId id)
+/// Requests loads from the daemon that decides on them (LoadCoordinatorOf) for as long as requests
+/// wait. If that daemon fails, hashing selects another one for the next attempt.
+Task<void> Router::RequestLoads(ArtifactId id)
 {
   ArtifactQueue& queue = m_queues[id];
   while (!queue.waiters.empty())
   {
-    const auto home = HomeOf(m_environment, id);
+    const auto coordinator = LoadCoordinatorOf(m_environment, id);
     LoadRequest request;
     request.artifact = id;
     request.request = queue.waiters.begin()->second.request.request;
     request.patience_ms = Patience(queue).count();
     request.waiting = static_cast<std::int64_t>(queue.waiters.size());
     request.more = !Candidates(queue, queue.waiters.begin()->second.request).empty();
-    if (!home || request.patience_ms <= 0)
+    if (!coordinator || request.patience_ms <= 0)
     {
-      co_await Common::Sleep{HOME_RETRY};
+      co_await Common::Sleep{LOAD_REQUEST_RETRY};
       continue;
     }
-    const auto answer = co_await m_environment.link.Ask(*home, Daemons::Call(request),
+    const auto answer = co_await m_environment.link.Ask(*coordinator, Daemons::Call(request),
                                                         Milliseconds(request.patience_ms));
     const auto* reply = answer ? std::get_if<LoadReply>(&*answer) : nullptr;
     const bool final = reply && reply->failure != FailureKind::None &&
@@ -247,13 +249,13 @@
       RefuseAll(queue,
                 {Failure{reply->failure, reply->detail}, Milliseconds(reply->retry_after_ms)});
     else if (reply && reply->failure == FailureKind::None && !request.more)
-      m_environment.board.HintLoaded(reply->server, id, Now());
+      m_environment.server_statuses.AssumeLoaded(reply->server, id, Now());
     const std::size_t before = queue.waiters.size();
     Dispatch(queue);
     if (!queue.waiters.empty() && queue.waiters.size() == before)
-      co_await Common::Sleep{HOME_RETRY};
+      co_await Common::Sleep{LOAD_REQUEST_RETRY};
   }
-  queue.asking = false;
+  queue.requesting_loads = false;
 }
 
 void Router::RefuseAll(ArtifactQueue& queue, const Refusal& refusal)
@@ -279,12 +281,12 @@
   Dispatch(queue);
 }
 
-void Router::NoteDeclined(const ArtifactId& artifact, const VmId& server)
+void Router::OnServerDeclined(const ArtifactId& artifact, const VmId& server)
 {
-  m_queues[artifact].avoided_until[server] = Now() + AVOID_DECLINED;
+  m_queues[artifact].avoided_until[server] = Now() + AVOID_AFTER_DECLINE;
 }
 
-void Router::OnBoardChange(const std::set<ArtifactId>& artifacts)
+void Router::OnReplicasChanged(const std::set<ArtifactId>& artifacts)
 {
   for (const ArtifactId& id : artifacts)
   {
--- a/Source/Core/Serving/Router.h
+++ b/Source/Core/Serving/Router.h
@@ -24,8 +24,8 @@
   Common::ServiceId service;
   std::int64_t weight = 1;
   Common::TimePoint deadline;
-  std::string affinity;            ///< The beginning of the prompt; empty if none.
-  std::set<Common::VmId> disliked; ///< Servers that failed this request; last resort.
+  std::string affinity;                  ///< The beginning of the prompt; empty if none.
+  std::set<Common::VmId> failed_servers; ///< Servers that failed this request; last resort.
 };
 
 /// Permission to send one request to a backend server. The request counts as in flight there until
@@ -73,11 +73,11 @@
 
   Common::Task<Route> Acquire(Table::Artifact artifact, RouteRequest request);
 
-  /// A backend server declined a request although the board lists it as serving. It is skipped for
+  /// A backend server declined a request although its status lists it as serving. It is skipped for
   /// 400 ms.
-  void NoteDeclined(const Common::ArtifactId& artifact, const Common::VmId& server);
-  /// Called when replicas of these artifacts have changed on the server board.
-  void OnBoardChange(const std::set<Common::ArtifactId>& artifacts);
+  void OnServerDeclined(const Common::ArtifactId& artifact, const Common::VmId& server);
+  /// Called when replicas of these artifacts have changed in the status registry.
+  void OnReplicasChanged(const std::set<Common::ArtifactId>& artifacts);
 
   std::size_t Waiting() const;
   std::int64_t InFlight() const;
@@ -100,7 +100,7 @@
     std::map<Common::VmId, std::int64_t> in_flight;
     std::map<Common::VmId, Common::TimePoint> avoided_until;
     Common::Milliseconds mean_service{0};
-    bool asking = false;
+    bool requesting_loads = false;
   };
 
   ArtifactQueue& QueueOf(const Table::Artifact& artifact);
@@ -108,7 +108,7 @@
   std::vector<Decisions::RouteCandidate> Candidates(ArtifactQueue& queue,
                                                     const RouteRequest& request);
   void Release(Common::ArtifactId artifact, Common::VmId server, Common::TimePoint began);
-  Common::Task<void> AskHome(Common::ArtifactId id);
+  Common::Task<void> RequestLoads(Common::ArtifactId id);
   void RefuseAll(ArtifactQueue& queue, const Refusal& refusal);
   Common::Milliseconds Patience(const ArtifactQueue& queue) const;
 
--- a/Source/Core/Serving/ServerWatch.cpp
+++ b/Source/Core/Serving/ServerController.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Serving/ServerWatch.h"
+#include "Serving/ServerController.h"
 
 #include <algorithm>
 
@@ -34,8 +34,8 @@
 using Decisions::ReconcileAction;
 using Decisions::ReportedState;
 
-constexpr int UNREACHABLE_AFTER = 2;
-constexpr int ORPHAN_AFTER = 3;
+constexpr int UNREACHABLE_AFTER_FAILURES = 2;
+constexpr int ORPHAN_AFTER_REPORTS = 3;
 
 ReportedState ToReported(const LoadedArtifact* artifact)
 {
@@ -69,19 +69,19 @@
 
 } // namespace
 
-ServerWatch::ServerWatch(Environment& environment, Table::BackendServer server)
+ServerController::ServerController(Environment& environment, Table::BackendServer server)
     : m_environment(environment),
       m_server(std::move(server)),
       m_ledger(environment.store, m_server.vm)
 {
 }
 
-Task<void> ServerWatch::Run()
+Task<void> ServerController::Run()
 {
   const auto self = shared_from_this();
   while (!m_retired || HasUnsettledClaims())
   {
-    co_await TakeReport();
+    co_await PollReport();
     if (!m_ledger.IsKnown())
       co_await m_ledger.Refresh();
     if (m_ledger.IsKnown() && (m_report_current || IsGone()))
@@ -100,7 +100,7 @@
   m_finished = true;
 }
 
-Task<void> ServerWatch::TakeReport()
+Task<void> ServerController::PollReport()
 {
   const TimePoint asked = Now();
   auto report = co_await m_environment.engine.Report(m_server.address);
@@ -108,7 +108,7 @@
   {
     m_report_current = false;
     m_absent_since.clear();
-    if (++m_failed_reports == UNREACHABLE_AFTER)
+    if (++m_failed_reports == UNREACHABLE_AFTER_FAILURES)
       LogEvent(LogLevel::Warning, "server.unreachable",
                {{"server", m_server.vm}, {"reason", report.Reason().detail}});
     co_return;
@@ -122,7 +122,7 @@
   m_failed_reports = 0;
   m_report = std::move(*report);
   m_report_current = true;
-  m_report_asked = asked;
+  m_report_requested_at = asked;
   for (const LoadedArtifact& artifact : m_report->artifacts)
     m_absent_since.erase(artifact.id);
   for (const Claim& claim : m_ledger.Row().claims)
@@ -130,7 +130,7 @@
       m_absent_since.emplace(claim.artifact, Now());
 }
 
-const LoadedArtifact* ServerWatch::Reported(const ArtifactId& id) const
+const LoadedArtifact* ServerController::Reported(const ArtifactId& id) const
 {
   if (!m_report)
     return nullptr;
@@ -138,22 +138,22 @@
   return found == m_report->artifacts.end() ? nullptr : &*found;
 }
 
-bool ServerWatch::IsMine(const Claim& claim) const
+bool ServerController::IsOwnClaim(const Claim& claim) const
 {
   const auto& self = m_environment.membership.Self();
   return claim.holder == self.vm && claim.holder_incarnation == self.incarnation;
 }
 
-bool ServerWatch::HasUnsettledClaims() const
+bool ServerController::HasUnsettledClaims() const
 {
   return std::ranges::any_of(m_ledger.Row().claims, [this](const Claim& claim) {
-    return IsMine(claim) && claim.state != ClaimState::Loaded;
+    return IsOwnClaim(claim) && claim.state != ClaimState::Loaded;
   });
 }
 
-OrderStatus ServerWatch::KnowledgeOf(const Claim& claim, TimePoint* since) const
+OrderStatus ServerController::OrderStatusOf(const Claim& claim, TimePoint* since) const
 {
-  if (IsMine(claim))
+  if (IsOwnClaim(claim))
   {
     const auto order = m_orders.find(claim.id);
     if (order == m_orders.end())
@@ -178,13 +178,13 @@
   return OrderStatus::HolderUnresponsive;
 }
 
-bool ServerWatch::IsGone() const
+bool ServerController::IsGone() const
 {
-  return m_failed_reports >= UNREACHABLE_AFTER &&
-         m_environment.board.IsRetired(m_server.vm, Now(), m_environment.timing.list_lag);
+  return m_failed_reports >= UNREACHABLE_AFTER_FAILURES &&
+         m_environment.server_statuses.IsRetired(m_server.vm, Now(), m_environment.timing.list_lag);
 }
 
-Decisions::ReconcileInput ServerWatch::Describe(const Claim& claim)
+Decisions::ReconcileInput ServerController::Describe(const Claim& claim)
 {
   Decisions::ReconcileInput input;
   TimePoint since;
@@ -193,15 +193,15 @@
   {
     // The VM no longer exists, so its memory is free and no order can still reach it.
     input.reported = ReportedState::Absent;
-    input.order = KnowledgeOf(claim, &since);
+    input.order = OrderStatusOf(claim, &since);
     input.same_instance = false;
     input.settled = true;
     return input;
   }
   // A report requested before the row's last change may predate a load or an unload.
-  const bool current = m_report_current && m_report_asked > m_ledger.AdoptedAt();
+  const bool current = m_report_current && m_report_requested_at > m_ledger.RowReceivedAt();
   input.reported = current ? ToReported(Reported(claim.artifact)) : ReportedState::Unknown;
-  input.order = KnowledgeOf(claim, &since);
+  input.order = OrderStatusOf(claim, &since);
   input.engine_checks_fencing = m_server.checks_fencing && m_report->checks_fencing;
   input.same_instance = claim.server_incarnation == m_report->incarnation;
   input.fence_raised =
@@ -212,7 +212,7 @@
   return input;
 }
 
-Task<void> ServerWatch::ReconcileClaims()
+Task<void> ServerController::ReconcileClaims()
 {
   // Each step may change the row, so look up each claim again.
   std::vector<ClaimId> ids;
@@ -226,13 +226,13 @@
   }
 }
 
-Task<void> ServerWatch::ReconcileOne(Claim claim)
+Task<void> ServerController::ReconcileOne(Claim claim)
 {
   if (m_unloading.contains(claim.id))
     co_return;
   const ReconcileAction action = Decisions::Reconcile(Describe(claim));
   // A daemon that no longer manages the server resolves only its own claims.
-  if (action == ReconcileAction::Keep || (m_retired && !IsMine(claim)))
+  if (action == ReconcileAction::Keep || (m_retired && !IsOwnClaim(claim)))
     co_return;
   LogEvent(LogLevel::Info, "claim.reconcile",
            {{"server", m_server.vm},
@@ -258,10 +258,10 @@
   }
 }
 
-Task<void> ServerWatch::RaiseFence()
+Task<void> ServerController::RaiseFence()
 {
   FencingNumber fence;
-  const auto raised = AsDone(co_await m_ledger.Update(
+  const auto raised = RequireCommitted(co_await m_ledger.Update(
       [&fence](ServerRow& row, Platform::Transaction&) -> std::optional<Failure> {
         fence = row.NextFence();
         return std::nullopt;
@@ -283,18 +283,18 @@
 
 /// Unloads artifacts that the engine holds without a claim. They stem from an order whose claim has
 /// been released since, or were loaded by someone else. The row is read again before the unload.
-Task<void> ServerWatch::UnloadOrphans()
+Task<void> ServerController::UnloadOrphans()
 {
   std::vector<ArtifactId> orphans;
   for (const LoadedArtifact& artifact : m_report->artifacts)
     if (!m_ledger.Row().FindArtifact(artifact.id) && !m_placing.contains(artifact.id))
       orphans.push_back(artifact.id);
-  std::erase_if(m_orphan_sightings, [&](const auto& item) {
+  std::erase_if(m_orphan_reports, [&](const auto& item) {
     return std::ranges::find(orphans, item.first) == orphans.end();
   });
   for (const ArtifactId& id : orphans)
   {
-    if (++m_orphan_sightings[id] < ORPHAN_AFTER)
+    if (++m_orphan_reports[id] < ORPHAN_AFTER_REPORTS)
       continue;
     const auto refreshed = co_await m_ledger.Refresh();
     if (!refreshed || m_ledger.Row().FindArtifact(id) || m_placing.contains(id))
@@ -306,13 +306,13 @@
   }
 }
 
-bool ServerWatch::IsSurplus(const Claim& claim) const
+bool ServerController::IsSurplus(const Claim& claim) const
 {
   const Table::Artifact* artifact = m_environment.table.Current().FindArtifact(claim.artifact);
   return !artifact || claim.slot >= artifact->replicas;
 }
 
-bool ServerWatch::HasLoadedAdapter(const ArtifactId& base) const
+bool ServerController::HasLoadedAdapter(const ArtifactId& base) const
 {
   return std::ranges::any_of(m_ledger.Row().claims, [&](const Claim& claim) {
     const Table::Artifact* artifact = m_environment.table.Current().FindArtifact(claim.artifact);
@@ -320,7 +320,7 @@
   });
 }
 
-Task<void> ServerWatch::UnloadSurplusAndIdle()
+Task<void> ServerController::UnloadSurplusAndIdle()
 {
   if (!m_environment.table.HasTable() || m_environment.store.IsDown())
     co_return;
@@ -347,16 +347,16 @@
                                                          m_environment.policies.retention);
     if (!IsSurplus(claim) && !idle_long)
       continue;
-    m_environment.explain.Add("unload", {claim.artifact.Get(), m_server.vm.Get()},
-                              {{"surplus", IsSurplus(claim)},
-                               {"idle_ms", use.idle.count()},
-                               {"load_ms", use.load_time.count()},
-                               {"served", use.served}});
+    m_environment.decision_log.Add("unload", {claim.artifact.Get(), m_server.vm.Get()},
+                                   {{"surplus", IsSurplus(claim)},
+                                    {"idle_ms", use.idle.count()},
+                                    {"load_ms", use.load_time.count()},
+                                    {"served", use.served}});
     Common::Spawn(Unload(claim.id));
   }
 }
 
-std::optional<Daemons::ServerStatus> ServerWatch::Status() const
+std::optional<Daemons::ServerStatus> ServerController::Status() const
 {
   if (!m_report || !m_ledger.IsKnown())
     return std::nullopt;
@@ -365,7 +365,7 @@
   status.keeper = m_environment.Self();
   status.incarnation = m_report->incarnation;
   status.row_version = m_ledger.Version();
-  status.ready = m_report->ready && m_failed_reports < UNREACHABLE_AFTER;
+  status.ready = m_report->ready && m_failed_reports < UNREACHABLE_AFTER_FAILURES;
   status.capacity = m_report->capacity;
   if (m_server.memory.Get() > 0)
     status.capacity = std::min(status.capacity, m_server.memory);
@@ -394,11 +394,11 @@
   return status;
 }
 
-void ServerWatch::Publish()
+void ServerController::Publish()
 {
   if (m_retired)
     return;
   if (const auto status = Status())
-    m_environment.board.Update(*status, Now());
+    m_environment.server_statuses.Update(*status, Now());
 }
 } // namespace Serving
--- a/Source/Core/Serving/ServerWatch.h
+++ b/Source/Core/Serving/ServerController.h
@@ -16,10 +16,10 @@
 {
 /// Manages one backend server: polls its reports, claims replica slots, orders loads and unloads,
 /// and resolves every claim whose order had no definite outcome.
-class ServerWatch : public std::enable_shared_from_this<ServerWatch>
+class ServerController : public std::enable_shared_from_this<ServerController>
 {
 public:
-  ServerWatch(Environment& environment, Table::BackendServer server);
+  ServerController(Environment& environment, Table::BackendServer server);
 
   /// Polls until `Retire` was called and all claims of this daemon are resolved.
   Common::Task<void> Run();
@@ -44,7 +44,7 @@
   };
   using Placed = Common::Completion<Daemons::PlaceReply>;
 
-  Common::Task<void> TakeReport();
+  Common::Task<void> PollReport();
   Common::Task<void> ReconcileClaims();
   Common::Task<void> ReconcileOne(Claim claim);
   Common::Task<void> UnloadOrphans();
@@ -61,7 +61,7 @@
                                                 std::vector<Common::VmId>* holders);
   Common::Task<Common::Result<Common::Done>> OrderLoad(Table::Artifact artifact, Claim claim,
                                                        Common::TimePoint checked);
-  Common::Task<bool> StillHeld(Common::ClaimId id);
+  Common::Task<bool> IsStillOwned(Common::ClaimId id);
   Common::Task<Common::Result<Common::FencingNumber>> RenewFence(Common::ClaimId id);
   Common::Task<Common::Result<Common::Done>> MarkLoaded(Common::ClaimId id);
   Common::Task<Common::Result<Common::Done>> Free(Claim seen);
@@ -72,9 +72,9 @@
   void ReturnPermit(Common::ClaimId claim);
 
   Decisions::ReconcileInput Describe(const Claim& claim);
-  Decisions::OrderStatus KnowledgeOf(const Claim& claim, Common::TimePoint* since) const;
+  Decisions::OrderStatus OrderStatusOf(const Claim& claim, Common::TimePoint* since) const;
   const BackendServers::LoadedArtifact* Reported(const Common::ArtifactId& id) const;
-  bool IsMine(const Claim& claim) const;
+  bool IsOwnClaim(const Claim& claim) const;
   /// Whether the platform has removed the server's VM and the server no longer reports.
   bool IsGone() const;
   bool IsCached(const Common::ArtifactId& id) const;
@@ -90,7 +90,7 @@
   ClaimLedger m_ledger;
   std::optional<BackendServers::EngineReport> m_report;
   bool m_report_current = false;
-  Common::TimePoint m_report_asked;
+  Common::TimePoint m_report_requested_at;
   Common::Incarnation m_fenced_incarnation;
   Common::FencingNumber m_confirmed_fence;
   int m_failed_reports = 0;
@@ -101,7 +101,7 @@
   std::set<Common::ClaimId> m_loaded;
   std::map<Common::ArtifactId, std::shared_ptr<Placed>> m_placing;
   std::map<Common::ArtifactId, Common::Milliseconds> m_load_times;
-  std::map<Common::ArtifactId, int> m_orphan_sightings;
+  std::map<Common::ArtifactId, int> m_orphan_reports;
   std::set<Common::ClaimId> m_unloading;
   bool m_retired = false;
   bool m_finished = false;
--- a/Source/Core/Serving/ServerWatchOrders.cpp
+++ b/Source/Core/Serving/ServerControllerOrders.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Serving/ServerWatch.h"
+#include "Serving/ServerController.h"
 
 #include <algorithm>
 
@@ -47,7 +47,7 @@
 
 } // namespace
 
-Task<PlaceReply> ServerWatch::Place(PlaceOrder order)
+Task<PlaceReply> ServerController::Place(PlaceOrder order)
 {
   const auto self = shared_from_this();
   const auto catalog = m_environment.table.Share();
@@ -74,7 +74,7 @@
 }
 
 /// Concurrent orders for the same artifact share one load and its outcome.
-Task<PlaceReply> ServerWatch::PlaceOnce(ArtifactId id, PlaceOrder order)
+Task<PlaceReply> ServerController::PlaceOnce(ArtifactId id, PlaceOrder order)
 {
   if (!m_ledger.IsKnown())
     co_await m_ledger.Refresh();
@@ -102,7 +102,7 @@
   co_return reply;
 }
 
-Task<PlaceReply> ServerWatch::ClaimAndLoad(Table::Artifact artifact, PlaceOrder order)
+Task<PlaceReply> ServerController::ClaimAndLoad(Table::Artifact artifact, PlaceOrder order)
 {
   const TimePoint began = Now();
   PlaceReply reply;
@@ -157,8 +157,8 @@
   co_return reply;
 }
 
-Task<Result<Claim>> ServerWatch::TakeClaim(Table::Artifact artifact, TimePoint deadline,
-                                           std::vector<VmId>* holders)
+Task<Result<Claim>> ServerController::TakeClaim(Table::Artifact artifact, TimePoint deadline,
+                                                std::vector<VmId>* holders)
 {
   if (!m_report_current)
     co_return Failure{FailureKind::Unavailable, "no current report from " + m_server.vm.Get()};
@@ -221,17 +221,18 @@
 /// Reads the row to check that the claim still belongs to this daemon. After a long pause, such as
 /// a freeze of the VM, another daemon may have taken it over. This only avoids a useless order;
 /// safety is guaranteed by the claim itself, which remains counted.
-Task<bool> ServerWatch::StillHeld(ClaimId id)
+Task<bool> ServerController::IsStillOwned(ClaimId id)
 {
   const auto refreshed = co_await m_ledger.Refresh();
   if (!refreshed)
     co_return false;
   ServerRow row = m_ledger.Row();
   const Claim* claim = row.Find(id);
-  co_return claim&& IsMine(*claim) && claim->state == ClaimState::Ordered;
+  co_return claim&& IsOwnClaim(*claim) && claim->state == ClaimState::Ordered;
 }
 
-Task<Result<Done>> ServerWatch::OrderLoad(Table::Artifact artifact, Claim claim, TimePoint checked)
+Task<Result<Done>> ServerController::OrderLoad(Table::Artifact artifact, Claim claim,
+                                               TimePoint checked)
 {
   EngineOrder order;
   order.kind = OrderKind::Load;
@@ -248,7 +249,7 @@
     // is noticed as well.
     if (Now() - checked > m_environment.timing.freeze_limit)
     {
-      const bool held = co_await StillHeld(claim.id);
+      const bool held = co_await IsStillOwned(claim.id);
       if (!held)
         co_return Failure{FailureKind::NotSent, "the claim was lost during a pause"};
     }
@@ -272,12 +273,12 @@
   co_return Failure{FailureKind::Refused, "the engine refused the order repeatedly"};
 }
 
-Task<Result<FencingNumber>> ServerWatch::RenewFence(ClaimId id)
+Task<Result<FencingNumber>> ServerController::RenewFence(ClaimId id)
 {
   FencingNumber fence;
   const auto edit = [&](ServerRow& row, Platform::Transaction&) -> std::optional<Failure> {
     Claim* claim = row.Find(id);
-    if (!claim || !IsMine(*claim) || claim->state != ClaimState::Ordered ||
+    if (!claim || !IsOwnClaim(*claim) || claim->state != ClaimState::Ordered ||
         claim->server_incarnation != m_report->incarnation)
       return Failure{FailureKind::Conflict, "the claim no longer belongs to this daemon"};
     fence = row.NextFence();
@@ -285,13 +286,13 @@
     return std::nullopt;
   };
   const auto updated =
-      AsDone(co_await m_ledger.Update(edit, Now() + m_environment.timing.claim_timeout));
+      RequireCommitted(co_await m_ledger.Update(edit, Now() + m_environment.timing.claim_timeout));
   if (!updated)
     co_return updated.Reason();
   co_return fence;
 }
 
-Task<Result<Done>> ServerWatch::MarkLoaded(ClaimId id)
+Task<Result<Done>> ServerController::MarkLoaded(ClaimId id)
 {
   const auto self = shared_from_this();
   const auto edit = [&id](ServerRow& row, Platform::Transaction&) -> std::optional<Failure> {
@@ -302,7 +303,7 @@
     return std::nullopt;
   };
   const auto done =
-      AsDone(co_await m_ledger.Update(edit, Now() + m_environment.timing.claim_timeout));
+      RequireCommitted(co_await m_ledger.Update(edit, Now() + m_environment.timing.claim_timeout));
   if (done)
   {
     m_loaded.erase(id);
@@ -314,7 +315,7 @@
 
 /// Releases a claim. `seen` is the state that the decision was based on; if the claim has changed
 /// since, it is not released.
-Task<Result<Done>> ServerWatch::Free(Claim seen)
+Task<Result<Done>> ServerController::Free(Claim seen)
 {
   const ClaimId id = seen.id;
   const auto edit = [&](ServerRow& row,
@@ -328,7 +329,7 @@
     return std::nullopt;
   };
   const auto done =
-      AsDone(co_await m_ledger.Update(edit, Now() + m_environment.timing.claim_timeout));
+      RequireCommitted(co_await m_ledger.Update(edit, Now() + m_environment.timing.claim_timeout));
   if (done || done.Reason().kind == FailureKind::NotFound)
   {
     m_orders.erase(id);
@@ -340,7 +341,7 @@
 
 /// Marks the claim as unloading first, so that no daemon sends requests to the replica, and then
 /// orders the engine to complete its running requests and unload.
-Task<Result<Done>> ServerWatch::Unload(ClaimId id)
+Task<Result<Done>> ServerController::Unload(ClaimId id)
 {
   const auto self = shared_from_this();
   if (!m_unloading.insert(id).second)
@@ -358,7 +359,8 @@
     unloading = *claim;
     return std::nullopt;
   };
-  auto done = AsDone(co_await m_ledger.Update(edit, Now() + m_environment.timing.claim_timeout));
+  auto done =
+      RequireCommitted(co_await m_ledger.Update(edit, Now() + m_environment.timing.claim_timeout));
   if (done)
   {
     m_orders[id] = LocalOrder{false, true, Now()};
@@ -371,10 +373,10 @@
   co_return done;
 }
 
-Task<Result<Done>> ServerWatch::SendUnload(Claim claim)
+Task<Result<Done>> ServerController::SendUnload(Claim claim)
 {
   FencingNumber fence;
-  const auto numbered = AsDone(co_await m_ledger.Update(
+  const auto numbered = RequireCommitted(co_await m_ledger.Update(
       [&fence](ServerRow& row, Platform::Transaction&) -> std::optional<Failure> {
         fence = row.NextFence();
         return std::nullopt;
@@ -394,7 +396,7 @@
                                                 m_environment.timing.order_timeout);
 }
 
-bool ServerWatch::IsInUse(const ClaimId& id) const
+bool ServerController::IsInUse(const ClaimId& id) const
 {
   const auto& claims = m_ledger.Row().claims;
   const auto claim = std::ranges::find(claims, id, &Claim::id);
@@ -403,7 +405,7 @@
   return reported && (reported->running > 0 || reported->idle < m_environment.timing.min_idle);
 }
 
-bool ServerWatch::IsCached(const ArtifactId& id) const
+bool ServerController::IsCached(const ArtifactId& id) const
 {
   const auto holds = [&id](const std::vector<ArtifactId>& ids) {
     return std::ranges::find(ids, id) != ids.end();
@@ -414,33 +416,33 @@
 /// Requests a permit for a load from the weight store, which slows down all loads if too many run
 /// concurrently. If the daemon that grants the permits is unreachable, the load proceeds without
 /// one: permits only matter for speed, not for safety.
-Task<bool> ServerWatch::GetPermit(const Table::Artifact& artifact, ClaimId claim,
-                                  Milliseconds patience)
+Task<bool> ServerController::GetPermit(const Table::Artifact& artifact, ClaimId claim,
+                                       Milliseconds patience)
 {
-  const auto pacer =
+  const auto allocator =
       Decisions::PickByRendezvous("weight-store", m_environment.membership.LiveEverywhere(Now()));
-  if (!pacer)
+  if (!allocator)
     co_return true;
   Daemons::PermitRequest request;
   request.claim = claim;
   request.artifact = artifact.id;
   request.patience_ms = patience.count();
   request.weight = artifact.weight;
-  const auto reply = co_await m_environment.link.Ask(*pacer, Daemons::Call(request), patience);
+  const auto reply = co_await m_environment.link.Ask(*allocator, Daemons::Call(request), patience);
   if (!reply)
     co_return reply.Reason().kind != FailureKind::Timeout;
   const auto* permit = std::get_if<Daemons::PermitReply>(&*reply);
   co_return permit && permit->granted;
 }
 
-void ServerWatch::ReturnPermit(ClaimId claim)
+void ServerController::ReturnPermit(ClaimId claim)
 {
-  const auto pacer =
+  const auto allocator =
       Decisions::PickByRendezvous("weight-store", m_environment.membership.LiveEverywhere(Now()));
-  if (!pacer)
+  if (!allocator)
     return;
   Daemons::PermitReturn message;
   message.claim = claim;
-  Common::Spawn(m_environment.link.Ask(*pacer, Daemons::Call(message), PERMIT_RETURN_TIMEOUT));
+  Common::Spawn(m_environment.link.Ask(*allocator, Daemons::Call(message), PERMIT_RETURN_TIMEOUT));
 }
 } // namespace Serving
--- a/Source/Core/Serving/Keeper.cpp
+++ b/Source/Core/Serving/ServerManager.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Serving/Keeper.h"
+#include "Serving/ServerManager.h"
 
 #include <algorithm>
 
@@ -17,13 +17,13 @@
 
 /// Minimum time between two announcements in which only load figures have changed. It grows with
 /// the number of daemons, since each of them pulls the statuses after an announcement.
-constexpr Milliseconds LOAD_NEWS_INTERVAL{1000};
-constexpr Milliseconds LOAD_NEWS_SHARE{200};
+constexpr Milliseconds LOAD_UPDATE_INTERVAL{1000};
+constexpr Milliseconds LOAD_UPDATE_INTERVAL_PER_PEER{200};
 /// A smaller change in the number of running requests of a server is not announced.
-constexpr std::int64_t LOAD_STEP = 4;
+constexpr std::int64_t MIN_LOAD_CHANGE = 4;
 
 /// Whether the difference affects which servers are eligible for a request.
-bool DiffersInKind(const ServerStatus& left, const ServerStatus& right)
+bool DiffersInEligibility(const ServerStatus& left, const ServerStatus& right)
 {
   const auto same_replica = [](const auto& a, const auto& b) {
     return a.claim == b.claim && a.state == b.state && a.surplus == b.surplus;
@@ -34,13 +34,13 @@
 }
 
 /// Whether the load differs enough to change a decision. Idle time is ignored: receivers of a
-/// status extrapolate it themselves (ServerBoard::IdleTime).
+/// status extrapolate it themselves (ServerStatusRegistry::IdleTime).
 bool DiffersInLoad(const ServerStatus& left, const ServerStatus& right)
 {
   const auto same_use = [](const auto& a, const auto& b) {
     return (a.running > 0) == (b.running > 0) && a.served == b.served;
   };
-  const std::int64_t step = std::max(LOAD_STEP, left.running / 4);
+  const std::int64_t step = std::max(MIN_LOAD_CHANGE, left.running / 4);
   return std::abs(left.running - right.running) >= step ||
          !std::ranges::equal(left.replicas, right.replicas, same_use);
 }
@@ -52,32 +52,33 @@
   });
 }
 
-bool DifferInKind(const std::vector<ServerStatus>& left, const std::vector<ServerStatus>& right)
+bool DifferInEligibility(const std::vector<ServerStatus>& left,
+                         const std::vector<ServerStatus>& right)
 {
   return !std::ranges::equal(left, right, [](const ServerStatus& a, const ServerStatus& b) {
-    return a.vm == b.vm && !DiffersInKind(a, b);
+    return a.vm == b.vm && !DiffersInEligibility(a, b);
   });
 }
 } // namespace
 
-Keeper::Keeper(Environment& environment) : m_environment(environment) {}
+ServerManager::ServerManager(Environment& environment) : m_environment(environment) {}
 
-std::shared_ptr<ServerWatch> Keeper::Watch(const Table::BackendServer& server)
+std::shared_ptr<ServerController> ServerManager::GetController(const Table::BackendServer& server)
 {
-  std::shared_ptr<ServerWatch>& watch = m_watches[server.vm];
-  if (watch && !watch->IsFinished())
+  std::shared_ptr<ServerController>& controller = m_controllers[server.vm];
+  if (controller && !controller->IsFinished())
   {
-    watch->Resume();
-    return watch;
+    controller->Resume();
+    return controller;
   }
-  watch = std::make_shared<ServerWatch>(m_environment, server);
-  Common::Spawn(watch->Run());
-  return watch;
+  controller = std::make_shared<ServerController>(m_environment, server);
+  Common::Spawn(controller->Run());
+  return controller;
 }
 
-void Keeper::Rebalance()
+void ServerManager::Rebalance()
 {
-  std::erase_if(m_watches, [](const auto& item) {
+  std::erase_if(m_controllers, [](const auto& item) {
     return item.second->IsFinished();
   });
   auto live = m_environment.membership.LiveEverywhere(Common::Now());
@@ -94,36 +95,36 @@
     const bool has_models = std::ranges::any_of(catalog->Artifacts(), [&pool](const auto& item) {
       return item.second.pool == pool;
     });
-    const auto keeper = KeeperOf(m_environment, server);
-    if (has_models && keeper == m_environment.Self() && !Keeps(vm))
+    const auto manager = ManagerOf(m_environment, server);
+    if (has_models && manager == m_environment.Self() && !Manages(vm))
     {
       Common::LogEvent(Common::LogLevel::Info, "keeper.took", {{"server", vm}});
-      Watch(server);
+      GetController(server);
     }
-    else if (keeper != m_environment.Self() && Keeps(vm))
+    else if (manager != m_environment.Self() && Manages(vm))
     {
       Common::LogEvent(Common::LogLevel::Info, "keeper.gave", {{"server", vm}});
-      m_watches[vm]->Retire();
+      m_controllers[vm]->Retire();
     }
   }
-  std::erase_if(m_watches, [](const auto& item) {
+  std::erase_if(m_controllers, [](const auto& item) {
     return item.second->IsFinished();
   });
 }
 
-bool Keeper::Keeps(const Common::VmId& server) const
+bool ServerManager::Manages(const Common::VmId& server) const
 {
-  const auto found = m_watches.find(server);
-  return found != m_watches.end() && !found->second->IsRetired();
+  const auto found = m_controllers.find(server);
+  return found != m_controllers.end() && !found->second->IsRetired();
 }
 
-Common::Task<PlaceReply> Keeper::Place(Daemons::PlaceOrder order)
+Common::Task<PlaceReply> ServerManager::Place(Daemons::PlaceOrder order)
 {
-  const auto found = m_watches.find(order.server);
-  if (found != m_watches.end() && !found->second->IsRetired())
+  const auto found = m_controllers.find(order.server);
+  if (found != m_controllers.end() && !found->second->IsRetired())
   {
-    const auto watch = found->second;
-    PlaceReply reply = co_await watch->Place(std::move(order));
+    const auto controller = found->second;
+    PlaceReply reply = co_await controller->Place(std::move(order));
     co_return reply;
   }
   PlaceReply reply;
@@ -132,25 +133,25 @@
   co_return reply;
 }
 
-Daemons::StatusReply Keeper::Statuses()
+Daemons::StatusReply ServerManager::Statuses()
 {
   std::vector<ServerStatus> servers;
-  for (const auto& [vm, watch] : m_watches)
+  for (const auto& [vm, controller] : m_controllers)
   {
-    if (watch->IsRetired())
+    if (controller->IsRetired())
       continue;
-    if (auto status = watch->Status())
+    if (auto status = controller->Status())
       servers.push_back(std::move(*status));
   }
   const auto now = Common::Now();
   const auto peers = static_cast<std::int64_t>(m_live.size());
-  const auto interval = std::max(LOAD_NEWS_INTERVAL, LOAD_NEWS_SHARE * peers);
-  const bool urgent = DifferInKind(servers, m_announced);
-  if (urgent || (now - m_last_bump >= interval && DifferInLoad(servers, m_announced)))
+  const auto interval = std::max(LOAD_UPDATE_INTERVAL, LOAD_UPDATE_INTERVAL_PER_PEER * peers);
+  const bool urgent = DifferInEligibility(servers, m_announced);
+  if (urgent || (now - m_last_announced_at >= interval && DifferInLoad(servers, m_announced)))
   {
     m_announced = servers;
     ++m_last.state_version;
-    m_last_bump = now;
+    m_last_announced_at = now;
   }
   m_last.servers = std::move(servers);
   return m_last;
--- a/Source/Core/Serving/ServerBoard.cpp
+++ b/Source/Core/Serving/ServerStatusRegistry.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Serving/ServerBoard.h"
+#include "Serving/ServerStatusRegistry.h"
 
 #include <algorithm>
 
@@ -14,7 +14,7 @@
 using Daemons::ReplicaStatus;
 using Daemons::ServerStatus;
 
-void ServerBoard::Index(const ServerStatus& status, bool add)
+void ServerStatusRegistry::Index(const ServerStatus& status, bool add)
 {
   for (const ReplicaStatus& replica : status.replicas)
   {
@@ -26,13 +26,13 @@
   }
 }
 
-void ServerBoard::Update(const ServerStatus& status, TimePoint now)
+void ServerStatusRegistry::Update(const ServerStatus& status, TimePoint now)
 {
   Entry& entry = m_entries[status.vm];
   if (status.row_version < entry.status.row_version)
     return;
   const bool changed = entry.status != status;
-  entry.heard = now;
+  entry.received_at = now;
   if (!changed)
     return;
   std::set<ArtifactId> touched;
@@ -49,10 +49,10 @@
     m_on_change(touched);
 }
 
-void ServerBoard::SetListed(const std::vector<Platform::VmEntry>& entries, TimePoint now)
+void ServerStatusRegistry::SetListed(const std::vector<Platform::VmEntry>& entries, TimePoint now)
 {
-  if (!m_list_since)
-    m_list_since = now;
+  if (!m_first_list_at)
+    m_first_list_at = now;
   m_leaving.clear();
   m_listed.clear();
   for (const Platform::VmEntry& entry : entries)
@@ -66,14 +66,16 @@
   }
 }
 
-bool ServerBoard::IsRetired(const VmId& server, TimePoint now, Common::Milliseconds list_lag) const
+bool ServerStatusRegistry::IsRetired(const VmId& server, TimePoint now,
+                                     Common::Milliseconds list_lag) const
 {
-  if (!m_list_since || m_listed.contains(server))
+  if (!m_first_list_at || m_listed.contains(server))
     return false;
-  return m_ever_listed.contains(server) || now - *m_list_since >= list_lag;
+  return m_ever_listed.contains(server) || now - *m_first_list_at >= list_lag;
 }
 
-void ServerBoard::HintLoaded(const VmId& server, const ArtifactId& artifact, TimePoint now)
+void ServerStatusRegistry::AssumeLoaded(const VmId& server, const ArtifactId& artifact,
+                                        TimePoint now)
 {
   const auto found = m_entries.find(server);
   if (found == m_entries.end())
@@ -87,28 +89,28 @@
   Update(status, now);
 }
 
-const ServerBoard::Entry* ServerBoard::Find(const VmId& server) const
+const ServerStatusRegistry::Entry* ServerStatusRegistry::Find(const VmId& server) const
 {
   const auto found = m_entries.find(server);
   return found == m_entries.end() ? nullptr : &found->second;
 }
 
-Common::Milliseconds ServerBoard::IdleTime(const Entry& entry, const ReplicaStatus& replica,
-                                           TimePoint now)
+Common::Milliseconds ServerStatusRegistry::IdleTime(const Entry& entry,
+                                                    const ReplicaStatus& replica, TimePoint now)
 {
   if (replica.running > 0)
     return Common::Milliseconds(0);
   return Common::Milliseconds(replica.idle_ms) +
-         std::chrono::duration_cast<Common::Milliseconds>(now - entry.heard);
+         std::chrono::duration_cast<Common::Milliseconds>(now - entry.received_at);
 }
 
-bool ServerBoard::TakesWork(const VmId& server) const
+bool ServerStatusRegistry::TakesWork(const VmId& server) const
 {
   const Entry* entry = Find(server);
   return entry && entry->status.ready && !m_leaving.contains(server);
 }
 
-std::vector<VmId> ServerBoard::With(const ArtifactId& artifact, ReplicaState state) const
+std::vector<VmId> ServerStatusRegistry::With(const ArtifactId& artifact, ReplicaState state) const
 {
   std::vector<VmId> servers;
   const auto indexed = m_by_artifact.find(artifact);
@@ -123,7 +125,7 @@
   return servers;
 }
 
-bool ServerBoard::IsServing(const VmId& server, const ArtifactId& artifact) const
+bool ServerStatusRegistry::IsServing(const VmId& server, const ArtifactId& artifact) const
 {
   const Entry* entry = Find(server);
   if (!entry || !TakesWork(server))
@@ -134,7 +136,7 @@
   });
 }
 
-void ServerBoard::OnChange(std::function<void(const std::set<ArtifactId>&)> callback)
+void ServerStatusRegistry::OnChange(std::function<void(const std::set<ArtifactId>&)> callback)
 {
   m_on_change = std::move(callback);
 }
--- a/Source/Core/Serving/ServerBoard.h
+++ b/Source/Core/Serving/ServerStatusRegistry.h
@@ -18,13 +18,13 @@
 namespace Serving
 {
 /// The latest known status of every backend server, as reported by the daemons that manage them.
-class ServerBoard
+class ServerStatusRegistry
 {
 public:
   struct Entry
   {
     Daemons::ServerStatus status;
-    Common::TimePoint heard;
+    Common::TimePoint received_at;
   };
 
   /// Stores a status, unless it has an older row version than the stored one.
@@ -38,8 +38,8 @@
                  Common::Milliseconds list_lag) const;
   /// Marks `artifact` as loaded on `server` according to a load reply, which may arrive before the
   /// status of the server.
-  void HintLoaded(const Common::VmId& server, const Common::ArtifactId& artifact,
-                  Common::TimePoint now);
+  void AssumeLoaded(const Common::VmId& server, const Common::ArtifactId& artifact,
+                    Common::TimePoint now);
 
   const Entry* Find(const Common::VmId& server) const;
   /// Idle time of a replica: the value in its status plus the time since the status was received.
@@ -66,7 +66,7 @@
   std::set<Common::VmId> m_leaving;
   std::set<Common::VmId> m_listed;
   std::set<Common::VmId> m_ever_listed;
-  std::optional<Common::TimePoint> m_list_since;
+  std::optional<Common::TimePoint> m_first_list_at;
   std::function<void(const std::set<Common::ArtifactId>&)> m_on_change;
 };
 } // namespace Serving
--- a/Source/Core/Serving/TableFollower.cpp
+++ b/Source/Core/Serving/TableFollower.cpp
@@ -57,7 +57,7 @@
   return json ? GetOr(*json, "revision", std::int64_t(0)) : 0;
 }
 
-std::string NowText()
+std::string CurrentTimestamp()
 {
   const std::time_t now = std::time(nullptr);
   std::tm parts{};
@@ -140,14 +140,14 @@
 Task<Result<Done>> TableFollower::CatchUp(std::int64_t head)
 {
   if (!m_has_table || head - m_revision.Get() > MAX_STEPS)
-    co_return co_await ReadWhole();
+    co_return co_await ReadAll();
   const auto changes = co_await ReadChanges(m_revision.Get() + 1, head);
   if (!changes)
     co_return changes.Reason();
   for (const Table::Change& change : *changes)
     Step(change);
   if (m_revision.Get() < head)
-    co_return co_await ReadWhole();
+    co_return co_await ReadAll();
   co_return Done{};
 }
 
@@ -175,7 +175,7 @@
   co_return changes;
 }
 
-Task<Result<Done>> TableFollower::ReadWhole()
+Task<Result<Done>> TableFollower::ReadAll()
 {
   const auto rows = co_await m_store.List(CURRENT_PREFIX);
   if (!rows)
@@ -223,7 +223,7 @@
 void TableFollower::Rebuild()
 {
   m_has_table = true;
-  m_catalog = std::make_shared<Table::Catalog>(Table::PlainRows(m_rows));
+  m_catalog = std::make_shared<Table::Catalog>(Table::RowsWithoutVersions(m_rows));
   m_membership.Self().table_revision = m_revision;
   LogEvent(LogLevel::Info, "table.in_force", {{"revision", m_revision}});
   if (m_on_change)
@@ -303,7 +303,7 @@
   change.revision = Revision(m_revision.Get() + 1);
   change.id = change_id;
   change.who = who;
-  change.when = NowText();
+  change.when = CurrentTimestamp();
   const auto outcome = co_await m_store.Commit(BuildTransaction(change, m_head_version),
                                                Common::Now() + APPLY_TIMEOUT);
   if (!outcome)
--- a/Source/Core/Serving/TableFollower.h
+++ b/Source/Core/Serving/TableFollower.h
@@ -58,7 +58,7 @@
   Common::Task<void> Poll();
   Common::Task<void> PullFrom(Common::VmId vm);
   Common::Task<Common::Result<Common::Done>> CatchUp(std::int64_t head);
-  Common::Task<Common::Result<Common::Done>> ReadWhole();
+  Common::Task<Common::Result<Common::Done>> ReadAll();
   Common::Task<Common::Result<std::vector<Table::Change>>> ReadChanges(std::int64_t first,
                                                                        std::int64_t last);
   void Step(const Table::Change& change);
--- a/Source/Core/Table/Change.cpp
+++ b/Source/Core/Table/Change.cpp
@@ -36,7 +36,7 @@
     rows.erase(key);
 }
 
-std::vector<Row> PlainRows(const RowMap& rows)
+std::vector<Row> RowsWithoutVersions(const RowMap& rows)
 {
   std::vector<Row> plain;
   plain.reserve(rows.size());
--- a/Source/Core/Table/Change.h
+++ b/Source/Core/Table/Change.h
@@ -52,7 +52,7 @@
 
 void ApplyChange(RowMap& rows, const Change& change);
 
-std::vector<Row> PlainRows(const RowMap& rows);
+std::vector<Row> RowsWithoutVersions(const RowMap& rows);
 
 Common::Json ToJson(const Change& change);
 Common::Result<Change> ChangeFromJson(const Common::Json& json);
--- a/Source/Tool/TableCommands.cpp
+++ b/Source/Tool/TableCommands.cpp
@@ -230,7 +230,7 @@
   const auto seen = FetchTable(invocation);
   if (!seen)
     return Report(seen.Reason());
-  std::cout << Table::WriteCsv(Table::PlainRows(seen->rows));
+  std::cout << Table::WriteCsv(Table::RowsWithoutVersions(seen->rows));
   return ExitStatus::Ok;
 }
 
--- a/Source/UnitTests/Table/CsvFileTest.cpp
+++ b/Source/UnitTests/Table/CsvFileTest.cpp
@@ -13,32 +13,32 @@
 class CsvFileTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CsvFileTest);
-  CPPUNIT_TEST(AllErrorsAreToldAtOnceWithTheirPlaces);
-  CPPUNIT_TEST(WhatIsWrittenIsReadBack);
-  CPPUNIT_TEST(AChangeLeadsFromOneTableToTheOther);
-  CPPUNIT_TEST(VersionsAreDrawnByWeight);
+  CPPUNIT_TEST(AllErrorsAreReportedWithTheirPositions);
+  CPPUNIT_TEST(WrittenRowsAreReadBack);
+  CPPUNIT_TEST(DifferenceTransformsOneTableIntoTheOther);
+  CPPUNIT_TEST(VersionsAreSelectedByWeight);
   CPPUNIT_TEST_SUITE_END();
 
   static std::string Text(const std::string& lines) { return Table::CsvHeading() + "\n" + lines; }
 
-  void AllErrorsAreToldAtOnceWithTheirPlaces()
+  void AllErrorsAreReportedWithTheirPositions()
   {
     const auto content = Table::ReadCsv(Text("pool,p\n"
                                              "model,m1,nowhere,,,10,1\n"
                                              "model,m2,p,,,ten,1\n"
                                              "modell,m3,p,,,10,1\n"
                                              "model,m4,p,,,10,1\nmodel,m4,p,,,10,1\n"));
-    std::vector<std::pair<int, int>> places;
+    std::vector<std::pair<int, int>> positions;
     for (const auto& error : content.errors)
-      places.emplace_back(error.line, error.column);
+      positions.emplace_back(error.line, error.column);
     const std::vector<std::pair<int, int>> expected{{3, 3}, {4, 6},  {4, 6},
                                                     {5, 1}, {5, 13}, {7, 2}};
-    CPPUNIT_ASSERT(places == expected);
+    CPPUNIT_ASSERT(positions == expected);
     CPPUNIT_ASSERT(!Table::ReadCsv("kind,name\n").errors.empty());
     CPPUNIT_ASSERT(!Table::ReadCsv(Text("pool,\"p\n")).errors.empty());
   }
 
-  void WhatIsWrittenIsReadBack()
+  void WrittenRowsAreReadBack()
   {
     const auto first = Table::ReadCsv(
         Text("# a note\npool,p\nmodel,m,p,,,10,2,3,4,5\nsetting,s,,,,,,,,,,,\"a \"\"b\"\", c\"\n"));
@@ -48,7 +48,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("a \"b\", c"), first.rows.back().value);
   }
 
-  void AChangeLeadsFromOneTableToTheOther()
+  void DifferenceTransformsOneTableIntoTheOther()
   {
     const auto old_rows = Table::ReadCsv(Text("pool,p\npool,q\nmodel,m,p,,,10,2\n")).rows;
     const auto new_rows = Table::ReadCsv(Text("pool,p\nmodel,m,p,,,10,3\npool,r\n")).rows;
@@ -62,7 +62,7 @@
     CPPUNIT_ASSERT(Table::Difference(rows, new_rows).Empty());
   }
 
-  void VersionsAreDrawnByWeight()
+  void VersionsAreSelectedByWeight()
   {
     const auto rows = Table::ReadCsv(Text("pool,p\nmodel,m,p,,,10,2\nversion,m.v1,m,,,,1,90\n"
                                           "version,m.v2,m,,,,1,10\n"))
