--- a/Source/Core/Serving/ClaimLedger.cpp
+++ b/Source/Core/Serving/ClaimLedger.cpp
@@ -19,12 +19,12 @@
 constexpr int MAX_ROUNDS = 5;
 } // namespace
 
-Result<Done> AsDone(const Result<Platform::CommitOutcome>& outcome)
+Result<Done> RequireCommitted(const Result<Platform::CommitOutcome>& outcome)
 {
   if (!outcome)
     return outcome.Reason();
   if (!outcome->committed)
-    return {FailureKind::Conflict, "another row of the transaction has changed"};
+    return {FailureKind::Conflict, "another row of the transaction was changed concurrently"};
   return Done{};
 }
 
@@ -39,7 +39,7 @@
   if (!row)
     return row.Reason();
   if (!m_known || stored.version != m_version)
-    m_adopted_at = Common::Now();
+    m_row_received_at = Common::Now();
   m_row = std::move(*row);
   m_version = stored.version;
   m_known = true;
@@ -51,7 +51,7 @@
   const auto stored = co_await m_store.ReadOne(ServerKey(m_server));
   if (!stored)
     co_return stored.Reason();
-  // A slow read must not bring back a row that a commit has replaced meanwhile.
+  // A slow read must not overwrite the result of a commit that completed in the meantime.
   if (m_known && stored->version < m_version)
     co_return Done{};
   co_return Adopt(*stored);
@@ -85,7 +85,7 @@
     {
       m_row = std::move(row);
       m_version = outcome->version;
-      m_adopted_at = Common::Now();
+      m_row_received_at = Common::Now();
       co_return *outcome;
     }
     const auto moved = std::ranges::find(outcome->conflicts, key, &Platform::StoredRow::key);
@@ -95,6 +95,7 @@
     if (!adopted)
       co_return adopted.Reason();
   }
-  co_return Failure{FailureKind::Conflict, "the row of " + m_server.Get() + " keeps changing"};
+  co_return Failure{FailureKind::Conflict,
+                    "the row of " + m_server.Get() + " was changed concurrently too often"};
 }
 } // namespace Serving
