--- a/Source/Core/Orders/OrderManager.cpp
+++ b/Source/Core/Orders/OrderManager.cpp
@@ -434,10 +434,10 @@
     line.instance = instance;
     for (const Artifact& artifact : AdaptersOn(*server, record->second))
     {
-      const auto coming = record->second.adapters.find(artifact);
+      const auto adapter = record->second.adapters.find(artifact);
       const bool arrived =
-          coming == record->second.adapters.end() || coming->second.usable_from <= now;
-      if (arrived && !record->second.leaving_adapters.contains(artifact))
+          adapter == record->second.adapters.end() || adapter->second.usable_from <= now;
+      if (arrived && !record->second.unloading_adapters.contains(artifact))
         line.adapters.push_back(artifact);
     }
     const auto& open = record->second.open;
--- a/Source/Core/Orders/OrderManager.h
+++ b/Source/Core/Orders/OrderManager.h
@@ -64,8 +64,8 @@
   std::int64_t order_sequence = 0;
   bool busy = false; ///< An order is being carried out.
   std::vector<Gateway::LoadedModel> models;
-  std::vector<Gateway::Artifact> coming; ///< Adapters that are being loaded.
-  Gateway::ServerStart started{};        ///< Start of the reporting process; 0 if not reported.
+  std::vector<Gateway::Artifact> loading_adapters;
+  Gateway::ServerStart started{}; ///< Start of the reporting process; 0 if not reported.
 };
 
 /// Transport of orders to backend servers, implemented by the platform layer.
@@ -182,8 +182,8 @@
     Common::TimePoint last_adapter_order;
     std::map<Gateway::ModelId, Common::TimePoint> loaded_since;
     std::map<Gateway::Artifact, AdapterRecord> adapters;
-    std::set<Gateway::Artifact> dropped_adapters; ///< Unloaded, but the entry may still list them.
-    std::set<Gateway::Artifact> leaving_adapters; ///< About to be unloaded; get no new requests.
+    std::set<Gateway::Artifact> unloaded_adapters; ///< Unloaded, but the entry may still list them.
+    std::set<Gateway::Artifact> unloading_adapters; ///< About to be unloaded; get no new requests.
   };
   struct DaemonRecord
   {
--- a/Source/Core/Orders/OrderManagerAdapters.cpp
+++ b/Source/Core/Orders/OrderManagerAdapters.cpp
@@ -52,10 +52,10 @@
   {
     const ServerPtr& server = ref->server;
     const ServerRecord& record = *ref->record;
-    const bool leaving = record.open &&
-                         record.open->call.operation == OrderCall::Operation::Unload &&
-                         record.open->call.artifact.model == artifact.model;
-    if (server->IsDraining() || server->Health().IsEjected(now) || leaving ||
+    const bool is_unloading = record.open &&
+                              record.open->call.operation == OrderCall::Operation::Unload &&
+                              record.open->call.artifact.model == artifact.model;
+    if (server->IsDraining() || server->Health().IsEjected(now) || is_unloading ||
         server->GetBackoff().IsNamed(now) || now < record.unusable_until || !record.state_known)
       continue;
     const bool full =
@@ -74,10 +74,10 @@
   ServerRecord& record = m_server_records[best->Entry().instance];
   const bool call_pending =
       record.adapter_call_pending || (record.open && record.open->call_pending);
-  const auto coming = std::ranges::count_if(record.adapters, [&](const auto& entry) {
+  const auto loads_in_progress = std::ranges::count_if(record.adapters, [&](const auto& entry) {
     return entry.second.usable_from > now;
   });
-  if (call_pending || coming >= MAX_ADAPTER_LOADS)
+  if (call_pending || loads_in_progress >= MAX_ADAPTER_LOADS)
     return;
   if (best_key.first)
     SendAdapterOrder(best, OrderCall::Operation::Unload, *AdapterToEvict(*best, record, now));
@@ -95,7 +95,7 @@
     const auto found = m_adapter_last_demand.find(artifact);
     const TimePoint wanted = found == m_adapter_last_demand.end() ? TimePoint() : found->second;
     if (now - wanted < ADAPTER_MIN_IDLE || (best && wanted >= best_wanted) ||
-        record.leaving_adapters.contains(artifact))
+        record.unloading_adapters.contains(artifact))
       continue;
     best = artifact;
     best_wanted = wanted;
@@ -123,7 +123,7 @@
   {
     // Announced before the unload, so that daemons stop sending requests for the adapter. It
     // occupies its slot until the server has confirmed the unload.
-    record.leaving_adapters.insert(artifact);
+    record.unloading_adapters.insert(artifact);
     if (m_on_placement_change)
       m_on_placement_change();
   }
@@ -153,7 +153,7 @@
       answer && (*answer == OrderAnswer::Accepted || *answer == OrderAnswer::AlreadyInState);
   if (!taken)
   {
-    record.leaving_adapters.erase(call.artifact);
+    record.unloading_adapters.erase(call.artifact);
     record.state_known = false;
     return;
   }
@@ -165,13 +165,13 @@
     // it.
     if (*answer == OrderAnswer::AlreadyInState)
     {
-      record.leaving_adapters.erase(call.artifact);
-      record.dropped_adapters.insert(call.artifact);
+      record.unloading_adapters.erase(call.artifact);
+      record.unloaded_adapters.insert(call.artifact);
       record.adapters.erase(call.artifact);
     }
     return;
   }
-  record.dropped_adapters.erase(call.artifact);
+  record.unloaded_adapters.erase(call.artifact);
   record.adapters[call.artifact] = {now + ADAPTER_LOAD_TIME};
   AnnounceAdapters();
 }
@@ -201,7 +201,7 @@
   for (const Gateway::LoadedModel& loaded : server.Entry().models)
     for (const Gateway::AdapterId& adapter : loaded.adapters)
       adapters.insert({loaded.model, adapter});
-  for (const Artifact& dropped : record.dropped_adapters)
+  for (const Artifact& dropped : record.unloaded_adapters)
     adapters.erase(dropped);
   for (const auto& [artifact, adapter] : record.adapters)
     adapters.insert(artifact);
--- a/Source/Core/Orders/OrderManagerServers.cpp
+++ b/Source/Core/Orders/OrderManagerServers.cpp
@@ -125,8 +125,8 @@
   const auto base_is_gone = [&](const Artifact& artifact) {
     return !server.HoldsModel(artifact.model);
   };
-  std::erase_if(record.dropped_adapters, base_is_gone);
-  std::erase_if(record.leaving_adapters, base_is_gone);
+  std::erase_if(record.unloaded_adapters, base_is_gone);
+  std::erase_if(record.unloading_adapters, base_is_gone);
 }
 
 std::vector<HeldModel> OrderManager::HeldModels(const ServerRecord& record, TimePoint now)
@@ -179,7 +179,7 @@
     for (const Gateway::AdapterId& adapter : loaded.adapters)
       record.adapters.try_emplace({loaded.model, adapter}, AdapterRecord{now});
   }
-  for (const Artifact& artifact : report->coming)
+  for (const Artifact& artifact : report->loading_adapters)
     record.adapters.try_emplace(artifact, AdapterRecord{now + ADAPTER_LOAD_TIME});
 }
 
--- a/Source/UnitTests/Platform/DecodeTest.cpp
+++ b/Source/UnitTests/Platform/DecodeTest.cpp
@@ -217,7 +217,7 @@
       "busy":true,"seq":2,"coming":["m/a7@1"]})");
     CPPUNIT_ASSERT(static_cast<bool>(report));
     CPPUNIT_ASSERT(report->busy);
-    CPPUNIT_ASSERT_EQUAL(std::string("m/a7"), report->coming.at(0).ToString());
+    CPPUNIT_ASSERT_EQUAL(std::string("m/a7"), report->loading_adapters.at(0).ToString());
     CPPUNIT_ASSERT(!DecodeReport("{}"));
   }
 
