--- a/Source/UnitTests/Platform/DecodeAccountsTest.cpp
+++ b/Source/UnitTests/Platform/DecodeAccountsTest.cpp
@@ -11,7 +11,7 @@
 {
 using namespace PlatformFace;
 
-/// Why this list is refused; empty where it is not.
+/// The error message for this list; empty if it is accepted.
 std::string Refusal(const char* list)
 {
   const auto accounts = DecodeAccounts(*Common::ParseJson(list));
@@ -64,10 +64,10 @@
   void NamesTheFieldThatIsWrong()
   {
     const std::pair<const char*, const char*> cases[] = {
-        {R"({})", "the accounts are not a list"},
-        {R"([7])", "account 0: name: expected a text"},
+        {R"({})", "the accounts are not an array"},
+        {R"([7])", "account 0: name: expected a string"},
         {R"([{"apiKeys":["k"]}])", "account 0: name"},
-        {R"([{"name":"a"}])", "account 0: apiKeys: expected a list of texts"},
+        {R"([{"name":"a"}])", "account 0: apiKeys: expected an array of strings"},
         {R"([{"name":"a","apiKeys":["k"]},{"name":"b","apiKeys":["l",7]}])", "account 1: apiKeys"},
         {R"([{"name":"a","apiKeys":"k"}])", "account 0: apiKeys"},
         {R"([{"name":"a","apiKeys":["k"],"ratePerS":"much"}])", "account 0: ratePerS"},
@@ -96,8 +96,8 @@
     CPPUNIT_ASSERT(!DecodeConfiguration(ConfigurationWith(R"(,"tenants":null)")));
   }
 
-  /// A list that is there and holds nobody is not the same as none: to let everybody in would be a
-  /// guess.
+  /// An empty list differs from a missing one: without a list no key is required, with an empty
+  /// list no key is accepted.
   void AnEmptyListLetsNobodyIn()
   {
     const auto configuration = DecodeConfiguration(ConfigurationWith(R"(,"tenants":[])"));
--- a/Source/UnitTests/Platform/DecodeTest.cpp
+++ b/Source/UnitTests/Platform/DecodeTest.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// What the platform lays, as our types; and what is malformed, as typed failures.
+// Decoding of the platform's settings, configuration, entries and reports, and typed failures for
+// malformed input.
 
 #include "platform/Decode.h"
 
@@ -133,8 +134,9 @@
     CPPUNIT_ASSERT(!DecodeServerEntry("i-1", "[]"));
   }
 
-  /// Symptom: requests were sent to addresses that no server had laid there. A missing state
-  /// counted as ready, a missing service as one without a name, slots of another type as 1.
+  /// Regression: requests were sent to addresses that no server had written, because the decoder
+  /// took a missing state as ready, a missing service as an empty name, and slots of another type
+  /// as 1.
   void AnEntryByAnotherWriterNamesNoServer()
   {
     const std::string sound =
--- a/Source/UnitTests/Platform/StoreClientTest.cpp
+++ b/Source/UnitTests/Platform/StoreClientTest.cpp
@@ -1,14 +1,12 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Symptom: after the store had acknowledged a configuration of 4,249 routes, 63 of 69 VMs routed by
-// the one before for 20 s and more.
-// Sequence: the answer with the row, 1,073 KB, takes 0.86 s over a link of 10 Mbit/s. Each weak VM
-// gave its call up after 0.70 s and began again from nothing, 14 times; the row before, 744 KB in
-// 0.60 s, had passed. The six VMs with 200 Mbit/s had the row at once.
-// Cause: a call's time was counted to the end of its answer, whose size has no bound.
-// What settled it: `store_calls_follow_timeout` of 14 on the weak VMs alone, `table-source-lost`
-// 0.70 s after each `table-asked`, and 300 to 1,140 KB a second of received bytes meanwhile.
+// Regression: 63 of 69 VMs used the old configuration for more than 20 s after the store had
+// acknowledged a new one of 4,249 routes. The
+// response with the row, 1,073 KB, takes 0.86 s over a link of 10 Mbit/s, but the timeout of 0.70 s
+// covered the whole response, whose size has no bound. Each slow VM timed out and started over, 14
+// times (`store_calls_follow_timeout`). The row before, 744 KB in 0.60 s, had arrived in time, and
+// the six VMs with 200 Mbit/s received the large row at once.
 
 #include "platform/StoreClient.h"
 
@@ -22,7 +20,7 @@
 using UnitTests::RunUntil;
 using UnitTests::ThrottledServer;
 
-/// The answer of a store with one row of so many bytes.
+/// A response of the store with one row whose value has `value_bytes` bytes.
 std::string OneRow(std::size_t value_bytes)
 {
   const std::string row =
@@ -69,7 +67,8 @@
     CPPUNIT_ASSERT_EQUAL(std::int64_t(7), (*rows)->version);
   }
 
-  /// A cut must still show within the time that a daemon has for its view to be current.
+  /// An interrupted response must be detected early enough for the daemon's view to be current
+  /// again within its 3 s.
   void AStoreThatFallsSilentWithinAnAnswerIsGivenUp()
   {
     ThrottledServer store(OneRow(1073'000));
