--- a/Source/Core/Platform/HttpPlatform.cpp
+++ b/Source/Core/Platform/HttpPlatform.cpp
@@ -67,16 +67,18 @@
   return copy;
 }
 
-/// The JSON of a successful answer; anything else is a typed failure.
+/// Parses the body of a response with status 200 or 409 (a conflict, whose body lists the rows).
+/// Any other response is a failure.
 Result<Json> Parse(const Result<Http::Response>& response)
 {
   if (!response)
     return response.Reason();
   if (response->status != STATUS_OK && response->status != STATUS_CONFLICT)
-    return {FailureKind::Unavailable, "the platform answered " + std::to_string(response->status)};
+    return {FailureKind::Unavailable,
+            "the platform responded with status " + std::to_string(response->status)};
   auto json = Common::ParseJson(response->body);
   if (!json)
-    return {FailureKind::Protocol, "the platform's answer is not JSON"};
+    return {FailureKind::Protocol, "the platform's response is not JSON"};
   return *json;
 }
 } // namespace
@@ -153,9 +155,9 @@
   if (!response)
     co_return response.Reason();
   if (response->status == STATUS_NOT_FOUND)
-    co_return Failure{FailureKind::NotFound, "no object " + key};
+    co_return Failure{FailureKind::NotFound, "no object with the key " + key};
   if (response->status != STATUS_OK)
-    co_return Failure{FailureKind::Unavailable, "the platform failed"};
+    co_return Failure{FailureKind::Unavailable, "the platform responded with an unexpected status"};
   co_return std::move(response->body);
 }
 
--- a/Source/Core/Platform/HttpPlatform.h
+++ b/Source/Core/Platform/HttpPlatform.h
@@ -12,11 +12,12 @@
 
 namespace Platform
 {
-/// The platform's services over HTTP/JSON.
+/// Client of the platform's services over HTTP with JSON.
 class HttpPlatform
 {
 public:
-  /// `base_url` like http://127.0.0.1:7100; `vm` names this VM to the platform.
+  /// `base_url` is of the form http://127.0.0.1:7100; `vm` is sent with each request to identify
+  /// this VM.
   HttpPlatform(std::string base_url, Common::VmId vm, Common::Milliseconds timeout);
 
   Common::Task<Common::Result<CommitOutcome>> Commit(Transaction transaction,
--- a/Source/Core/Platform/Store.h
+++ b/Source/Core/Platform/Store.h
@@ -16,12 +16,12 @@
 
 namespace Platform
 {
-/// Settles every transaction: a write whose answer was lost is neither guessed nor blindly
-/// repeated. Each transaction also creates a receipt row under an id of its own, on the condition
-/// that it does not exist; so sending the same transaction again is safe, and a conflict on the
-/// receipt says that an earlier sending took effect. The receipt is removed by the sender's next
-/// transaction. Every transaction must carry one condition that its own success ends for good
-/// (it rewrites that row), so that a delayed copy can never match once the receipt is gone.
+/// Determines the outcome of every transaction, also if a response is lost. Each transaction also
+/// creates a receipt row with a unique key, on the condition that the row does not exist. Resending
+/// the transaction is therefore safe, and a conflict on the receipt means that an earlier attempt
+/// took effect. The sender's next transaction removes the receipt. Every transaction must have a
+/// condition that its own success makes false for good, on a row that it rewrites, so that a
+/// delayed copy cannot match after the receipt was removed.
 template <PlatformClient Client>
 class BasicStore
 {
@@ -31,8 +31,8 @@
   {
   }
 
-  /// Commits or finds out that it cannot. OutcomeUnknown only where the platform stays silent
-  /// until `deadline`; NotSent where certainly nothing reached it.
+  /// Retries until the outcome is known. Fails with OutcomeUnknown only if the platform does not
+  /// confirm the outcome before `deadline`, and with NotSent if certainly nothing reached it.
   Common::Task<Common::Result<CommitOutcome>> Commit(Transaction transaction,
                                                      Common::TimePoint deadline)
   {
@@ -49,7 +49,7 @@
       {
         NoteSuccess();
         CommitOutcome result = Interpret(*outcome, receipt);
-        // Receipts that this attempt did not remove are removed by a later one.
+        // If the transaction did not commit, a later one removes the receipts.
         if (!result.committed)
           m_settled.insert(m_settled.end(), settled.begin(), settled.end());
         else
@@ -87,7 +87,8 @@
     if (!rows)
       co_return rows.Reason();
     if (rows->size() != 1)
-      co_return Common::Failure{Common::FailureKind::Protocol, "not the row that was asked for"};
+      co_return Common::Failure{Common::FailureKind::Protocol,
+                                "the response does not have exactly one row"};
     co_return rows->front();
   }
 
@@ -115,8 +116,9 @@
     return m_client.GetObject(std::move(key));
   }
 
-  /// True once several calls in a row failed: what needs a claim is then refused at once. The
-  /// table follower keeps calling and ends this state.
+  /// True if at least DOWN_AFTER calls in a row failed (object calls are not counted). Requests
+  /// that need a claim are then refused at once. The table follower keeps calling, and its first
+  /// successful call ends this state.
   bool IsDown() const { return m_failures_in_a_row >= DOWN_AFTER; }
 
 private:
@@ -126,7 +128,8 @@
   static constexpr Common::Milliseconds MIN_TIMEOUT{50};
   static constexpr Common::Milliseconds MAX_TIMEOUT{1000};
 
-  /// Adds the receipt, and the removal of those that are settled.
+  /// Adds the creation of `receipt` and the removal of receipts that are no longer needed, whose
+  /// keys it returns.
   std::vector<std::string> AddReceipt(Transaction& transaction, const std::string& receipt)
   {
     transaction.conditions.push_back({receipt, 0});
--- a/Source/Core/Platform/Types.h
+++ b/Source/Core/Platform/Types.h
@@ -14,8 +14,8 @@
 
 namespace Platform
 {
-/// A row of the transactional table service. Version 0 says that the row does not exist; each
-/// write gives a version higher than all before.
+/// A row of the transactional table service. Version 0 means that the row does not exist; each
+/// write sets a version higher than all earlier ones.
 struct StoredRow
 {
   std::string key;
@@ -30,26 +30,26 @@
   std::int64_t version = 0;
 };
 
-/// Puts `value`, or removes the row where there is none.
+/// Writes `value`, or removes the row if there is no value.
 struct Write
 {
   std::string key;
   std::optional<std::string> value;
 };
 
-/// All writes take effect together, or none.
+/// All writes take effect together if all conditions hold; otherwise none does.
 struct Transaction
 {
   std::vector<Condition> conditions;
   std::vector<Write> writes;
 };
 
-/// What became of a transaction for certain.
+/// The confirmed outcome of a transaction.
 struct CommitOutcome
 {
   bool committed = false;
-  std::int64_t version = 0;         ///< Of the written rows, where committed.
-  std::vector<StoredRow> conflicts; ///< The rows as they are, where not.
+  std::int64_t version = 0;         ///< Version of the written rows, if committed.
+  std::vector<StoredRow> conflicts; ///< Current rows whose conditions failed, if not committed.
 };
 
 enum class VmState
@@ -58,18 +58,19 @@
   Leaving,
 };
 
-/// One entry of the platform's list, which lags behind the truth.
+/// An entry of the platform's list of VMs, which may be out of date.
 struct VmEntry
 {
   Common::VmId vm;
   std::string role; ///< "entry" or "backend".
   Common::DataCentreId data_centre;
   VmState state = VmState::Live;
-  std::string address; ///< Of an entry VM: IP:port between daemons.
+  std::string address; ///< IP:port for messages between daemons; entry VMs only.
 };
 
-/// What drumpond needs of a platform. Another platform is one new class with these calls.
-/// Failures of `Commit`: NotSent, or OutcomeUnknown/Timeout where it may have taken effect.
+/// The interface that drumpond requires of a platform. To support another platform, implement
+/// these calls in a class. `Commit` fails with NotSent, or with OutcomeUnknown or Timeout if the
+/// transaction may have taken effect.
 template <typename T>
 concept PlatformClient = requires(T client, Transaction transaction, std::string text,
                                   std::vector<std::string> keys, Common::Milliseconds timeout)
