--- a/Source/Daemon/Main.cpp
+++ b/Source/Daemon/Main.cpp
@@ -10,7 +10,7 @@
 #include "Common/Log.h"
 #include "Daemon/Application.h"
 #include "Daemon/Settings.h"
-#include "platform/Face.h"
+#include "platform/PlatformDaemon.h"
 
 namespace
 {
@@ -26,11 +26,11 @@
 
 int main(int argc, char** argv)
 {
-  if (const auto settings_path = PlatformFace::SettingsPath())
+  if (const auto settings_path = PlatformAdapter::SettingsPath())
   {
     std::signal(SIGPIPE, SIG_IGN);
     Common::InitLog(argv[0]);
-    const int status = PlatformFace::Run(*settings_path);
+    const int status = PlatformAdapter::Run(*settings_path);
     Common::FlushLog();
     std::_Exit(status);
   }
--- a/Source/Tool/LogCommands.cpp
+++ b/Source/Tool/LogCommands.cpp
@@ -168,7 +168,7 @@
     return ExitStatus::Usage;
   }
   const std::string text{std::istreambuf_iterator<char>(in), {}};
-  const auto settings = PlatformFace::DecodeSettings(text);
+  const auto settings = PlatformAdapter::DecodeSettings(text);
   if (!settings)
     return Report(settings.Reason());
   std::cout << "sound: " << settings->vm.Get() << " in " << settings->data_centre.Get()
--- a/Source/UnitTests/Fuzz.cpp
+++ b/Source/UnitTests/Fuzz.cpp
@@ -164,7 +164,7 @@
        R"("models":[{"name":"m","version":1,"adapters":["a1"]}],"seq":4,"born":1700000000000,)"
        R"("atHand":{"inMemory":["k"],"onDisk":["m","k"]}})",
        [](const std::string& text) {
-         (void)PlatformFace::DecodeServerEntry("i-1", text);
+         (void)PlatformAdapter::DecodeServerEntry("i-1", text);
        }},
       {"key headers",
        "POST /a HTTP/1.1\r\nHost: h\r\nKey: k\r\nKEY : k\r\n key: k\r\nTenant: t\r\n"
@@ -178,7 +178,7 @@
        R"("service":"s","public":true}],"services":[{"name":"s"}],"tenants":[{"name":"a",)"
        R"("apiKeys":["k","l"],"priority":1,"unit":"tokens","plainTokens":200,"ratePerS":2.5,"burst":1}]})",
        [](const std::string& text) {
-         (void)PlatformFace::DecodeConfiguration(text);
+         (void)PlatformAdapter::DecodeConfiguration(text);
        }},
       {"holder's datagram",
        Daemons::Encode(Orders::Envelope{{},
@@ -192,7 +192,7 @@
       {"server report",
        R"({"models":[{"name":"m","version":1,"adapters":["a"]}],"busy":true,"seq":2,"born":3,"coming":["m/a@1"]})",
        [](const std::string& text) {
-         (void)PlatformFace::DecodeReport(text);
+         (void)PlatformAdapter::DecodeReport(text);
        }},
       {"engine report",
        R"({"vm":"r","incarnation":"e","capacity_mb":9,"artifacts":[{"id":"m","state":"loaded"}]})",
--- a/Source/UnitTests/Gateway/ServerRestartTest.cpp
+++ b/Source/UnitTests/Gateway/ServerRestartTest.cpp
@@ -21,7 +21,7 @@
 /// The entry of the instance of server i-1 that started at `born`.
 ServerEntry EntryOf(std::int64_t born, const std::string& models)
 {
-  const auto entry = PlatformFace::DecodeServerEntry(
+  const auto entry = PlatformAdapter::DecodeServerEntry(
       "i-1",
       R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":8,"state":"ready","born":)" +
           std::to_string(born) + R"(,"models":[)" + models + R"(],"seq":1})");
--- a/Source/UnitTests/Orders/ServerRestartOrdersTest.cpp
+++ b/Source/UnitTests/Orders/ServerRestartOrdersTest.cpp
@@ -35,7 +35,7 @@
                        },
                        [this](const InstanceId&, const Http::Endpoint&, auto done) {
                          ++reports;
-                         m_soon.Call([done, answer = PlatformFace::DecodeReport(report)] {
+                         m_soon.Call([done, answer = PlatformAdapter::DecodeReport(report)] {
                            done(answer);
                          });
                        },
@@ -62,7 +62,7 @@
 
   void SetEntry(std::int64_t born, const std::string& models = "")
   {
-    const auto entry = PlatformFace::DecodeServerEntry(
+    const auto entry = PlatformAdapter::DecodeServerEntry(
         "i-1",
         R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":8,"state":"ready","born":)" +
             std::to_string(born) + R"(,"models":[)" + models +
--- a/Source/UnitTests/Platform/DecodeAccountsTest.cpp
+++ b/Source/UnitTests/Platform/DecodeAccountsTest.cpp
@@ -9,10 +9,10 @@
 
 namespace
 {
-using namespace PlatformFace;
+using namespace PlatformAdapter;
 
 /// The error message for this list; empty if it is accepted.
-std::string Refusal(const char* list)
+std::string ErrorFor(const char* list)
 {
   const auto accounts = DecodeAccounts(*Common::ParseJson(list));
   return accounts ? "" : accounts.Reason().detail;
@@ -29,12 +29,12 @@
 {
   CPPUNIT_TEST_SUITE(DecodeAccountsTest);
   CPPUNIT_TEST(ReadsAccounts);
-  CPPUNIT_TEST(WhatMayBeLeftOutHasItsDefault);
-  CPPUNIT_TEST(NamesTheFieldThatIsWrong);
-  CPPUNIT_TEST(AConfigurationWithoutAccountsAsksForNoKey);
-  CPPUNIT_TEST(AWrongAccountRefusesTheConfiguration);
-  CPPUNIT_TEST(AnEmptyListLetsNobodyIn);
-  CPPUNIT_TEST(ReadsTheBoundOnKeys);
+  CPPUNIT_TEST(MissingOptionalFieldsHaveDefaults);
+  CPPUNIT_TEST(ErrorNamesTheInvalidField);
+  CPPUNIT_TEST(ConfigurationWithoutAccountsRequiresNoKey);
+  CPPUNIT_TEST(InvalidAccountRejectsTheConfiguration);
+  CPPUNIT_TEST(EmptyAccountListAcceptsNoKey);
+  CPPUNIT_TEST(ReadsTheLimitForRevokedKeys);
   CPPUNIT_TEST_SUITE_END();
 
   void ReadsAccounts()
@@ -50,7 +50,7 @@
                    (Accounts::UsageLimit{273068, 1000.5, Accounts::UsageUnit::Tokens, 200}));
   }
 
-  void WhatMayBeLeftOutHasItsDefault()
+  void MissingOptionalFieldsHaveDefaults()
   {
     const auto accounts =
         DecodeAccounts(*Common::ParseJson(R"([{"name":"a","apiKeys":["k"],"burst":null}])"));
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT(account.limit.unit == Accounts::UsageUnit::Requests);
   }
 
-  void NamesTheFieldThatIsWrong()
+  void ErrorNamesTheInvalidField()
   {
     const std::pair<const char*, const char*> cases[] = {
         {R"({})", "the accounts are not an array"},
@@ -79,10 +79,10 @@
         {R"([{"name":"a","apiKeys":["k"]},{"name":"b","apiKeys":["k"]}])", "account 1 (b)"},
     };
     for (const auto& [list, expected] : cases)
-      CPPUNIT_ASSERT_MESSAGE(list, Refusal(list).starts_with(expected));
+      CPPUNIT_ASSERT_MESSAGE(list, ErrorFor(list).starts_with(expected));
   }
 
-  void AConfigurationWithoutAccountsAsksForNoKey()
+  void ConfigurationWithoutAccountsRequiresNoKey()
   {
     const auto configuration = DecodeConfiguration(ConfigurationWith(""));
     CPPUNIT_ASSERT(static_cast<bool>(configuration));
@@ -90,7 +90,7 @@
     CPPUNIT_ASSERT((*configuration)->routes.at(0).open_to_all);
   }
 
-  void AWrongAccountRefusesTheConfiguration()
+  void InvalidAccountRejectsTheConfiguration()
   {
     CPPUNIT_ASSERT(!DecodeConfiguration(ConfigurationWith(R"(,"tenants":[{"name":"a"}])")));
     CPPUNIT_ASSERT(!DecodeConfiguration(ConfigurationWith(R"(,"tenants":null)")));
@@ -98,14 +98,14 @@
 
   /// An empty list differs from a missing one: without a list no key is required, with an empty
   /// list no key is accepted.
-  void AnEmptyListLetsNobodyIn()
+  void EmptyAccountListAcceptsNoKey()
   {
     const auto configuration = DecodeConfiguration(ConfigurationWith(R"(,"tenants":[])"));
     CPPUNIT_ASSERT(static_cast<bool>(configuration));
     CPPUNIT_ASSERT((*configuration)->accounts != nullptr);
   }
 
-  void ReadsTheBoundOnKeys()
+  void ReadsTheLimitForRevokedKeys()
   {
     const std::string begin =
         R"({"nodeName":"x","zone":"z","portRange":[7000],"listen":{"front":"1.2.3.4:5",)"
--- a/Source/UnitTests/Platform/DecodeTest.cpp
+++ b/Source/UnitTests/Platform/DecodeTest.cpp
@@ -10,7 +10,7 @@
 
 namespace
 {
-using namespace PlatformFace;
+using namespace PlatformAdapter;
 
 constexpr const char* SETTINGS =
     R"({"nodeName":"front-1","zone":"hall","portRange":[7380,7395],"heartbeatMs":1200,
@@ -22,18 +22,18 @@
 {
   CPPUNIT_TEST_SUITE(DecodeTest);
   CPPUNIT_TEST(ReadsSettings);
-  CPPUNIT_TEST(RefusesIncompleteSettings);
-  CPPUNIT_TEST(NamesAllThatIsWrongWithSettings);
-  CPPUNIT_TEST(LeavesDefaultsWhereNothingIsSet);
-  CPPUNIT_TEST(ReadsAConfiguration);
-  CPPUNIT_TEST(RefusesAnUnknownKindOfRoute);
-  CPPUNIT_TEST(ReadsAServersEntry);
-  CPPUNIT_TEST(RefusesAnEntryWithoutAddress);
-  CPPUNIT_TEST(AnEntryByAnotherWriterNamesNoServer);
-  CPPUNIT_TEST(FieldsThatMayBeMissingHaveTheirDefaults);
-  CPPUNIT_TEST(AReportWithoutWholeNumbersIsRefused);
-  CPPUNIT_TEST(ReadsAReport);
-  CPPUNIT_TEST(NothingMalformedEndsTheProcess);
+  CPPUNIT_TEST(RejectsIncompleteSettings);
+  CPPUNIT_TEST(ErrorNamesAllInvalidSettings);
+  CPPUNIT_TEST(MissingSettingsHaveDefaults);
+  CPPUNIT_TEST(ReadsConfiguration);
+  CPPUNIT_TEST(RejectsUnknownKindOfRoute);
+  CPPUNIT_TEST(ReadsServerEntry);
+  CPPUNIT_TEST(RejectsEntryWithoutAddress);
+  CPPUNIT_TEST(RejectsEntryWithAnyInvalidField);
+  CPPUNIT_TEST(MissingEntryFieldsHaveDefaults);
+  CPPUNIT_TEST(RejectsReportWithoutIntegers);
+  CPPUNIT_TEST(ReadsReport);
+  CPPUNIT_TEST(MalformedInputDoesNotCrash);
   CPPUNIT_TEST_SUITE_END();
 
   void ReadsSettings()
@@ -47,7 +47,7 @@
     CPPUNIT_ASSERT_EQUAL(0.25, settings->cores);
   }
 
-  void RefusesIncompleteSettings()
+  void RejectsIncompleteSettings()
   {
     const auto settings = DecodeSettings(R"({"nodeName":"x"})");
     CPPUNIT_ASSERT(!settings);
@@ -55,7 +55,7 @@
     CPPUNIT_ASSERT(!DecodeSettings("not json"));
   }
 
-  void NamesAllThatIsWrongWithSettings()
+  void ErrorNamesAllInvalidSettings()
   {
     const auto settings = DecodeSettings(
         R"({"nodeName":"x","zone":7,"portRange":[70000],"listen":{"front":"here","ready":"1.2.3.4:5"},)"
@@ -72,7 +72,7 @@
     CPPUNIT_ASSERT(problems.find("listen.ready") == std::string::npos);
   }
 
-  void LeavesDefaultsWhereNothingIsSet()
+  void MissingSettingsHaveDefaults()
   {
     const auto settings = DecodeSettings(
         R"({"nodeName":"x","zone":"z","portRange":[7000],"listen":{"front":"1.2.3.4:5","ready":"1.2.3.4:6"},)"
@@ -82,7 +82,7 @@
     CPPUNIT_ASSERT_EQUAL(0.2, settings->retry_ratio);
   }
 
-  void ReadsAConfiguration()
+  void ReadsConfiguration()
   {
     const auto configuration = DecodeConfiguration(R"({"version":7,"routes":[
       {"name":"r","host":"h","pathPrefix":"/p/","kind":"streaming","timeoutMs":25000,"targetLatencyMs":2500,
@@ -108,14 +108,14 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(200), value.limits.body_bytes);
   }
 
-  void RefusesAnUnknownKindOfRoute()
+  void RejectsUnknownKindOfRoute()
   {
     CPPUNIT_ASSERT(!DecodeConfiguration(
         R"({"version":7,"routes":[{"name":"r","host":"h","pathPrefix":"/","kind":"odd"}],"services":[]})"));
     CPPUNIT_ASSERT(!DecodeConfiguration(R"({"version":7})"));
   }
 
-  void ReadsAServersEntry()
+  void ReadsServerEntry()
   {
     const auto entry =
         DecodeServerEntry("i-1", R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":64,
@@ -127,7 +127,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), entry->on_disk.size());
   }
 
-  void RefusesAnEntryWithoutAddress()
+  void RejectsEntryWithoutAddress()
   {
     CPPUNIT_ASSERT(!DecodeServerEntry("i-1", R"({"service":"s"})"));
     CPPUNIT_ASSERT(!DecodeServerEntry("i-1", R"({"service":"s","address":"host:80"})"));
@@ -137,18 +137,18 @@
   /// Regression: requests were sent to addresses that no server had written, because the decoder
   /// took a missing state as ready, a missing service as an empty name, and slots of another type
   /// as 1.
-  void AnEntryByAnotherWriterNamesNoServer()
+  void RejectsEntryWithAnyInvalidField()
   {
-    const std::string sound =
+    const std::string valid =
         R"({"service":"s","address":"10.0.0.9:80","zone":"z","version":"v1","slots":64,"state":"ready",)"
         R"("coldLeftMs":0,"models":[{"name":"m","version":1,"adapters":["a1"]}],)"
         R"("atHand":{"inMemory":["k"],"onDisk":["m"]},"seq":4,"born":1700000000000})";
-    CPPUNIT_ASSERT(static_cast<bool>(DecodeServerEntry("i-1", sound)));
+    CPPUNIT_ASSERT(static_cast<bool>(DecodeServerEntry("i-1", valid)));
     struct Case
     {
       const char* part;
       const char* instead;
-      EntryField wrong;
+      EntryField expected;
     };
     const Case cases[] = {
         {R"("service":"s",)", "", EntryField::Service},
@@ -182,18 +182,18 @@
     };
     for (const Case& item : cases)
     {
-      std::string text = sound;
+      std::string text = valid;
       text.replace(text.find(item.part), std::string(item.part).size(), item.instead);
       const auto entry = DecodeServerEntry("i-1", text);
       CPPUNIT_ASSERT_MESSAGE(text, !entry);
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string(ToString(item.wrong)),
-                                   std::string(ToString(entry.Wrong())));
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(text, std::string(ToString(item.expected)),
+                                   std::string(ToString(entry.InvalidField())));
     }
     for (const char* text : {"", "null", "3", "[]", "\xff\xfe", "{\"service\":\"s\""})
-      CPPUNIT_ASSERT(DecodeServerEntry("i-1", text).Wrong() == EntryField::Body);
+      CPPUNIT_ASSERT(DecodeServerEntry("i-1", text).InvalidField() == EntryField::Body);
   }
 
-  void FieldsThatMayBeMissingHaveTheirDefaults()
+  void MissingEntryFieldsHaveDefaults()
   {
     const auto entry = DecodeServerEntry(
         "i-1", R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":6,"state":"ready"})");
@@ -203,7 +203,7 @@
     CPPUNIT_ASSERT(entry->instance.Started() == Gateway::ServerStart());
   }
 
-  void AReportWithoutWholeNumbersIsRefused()
+  void RejectsReportWithoutIntegers()
   {
     CPPUNIT_ASSERT(static_cast<bool>(DecodeReport(R"({"seq":2,"born":5})")));
     for (const char* text :
@@ -212,7 +212,7 @@
       CPPUNIT_ASSERT_MESSAGE(text, !DecodeReport(text));
   }
 
-  void ReadsAReport()
+  void ReadsReport()
   {
     const auto report =
         DecodeReport(R"({"stage":"combined","models":[{"name":"m","version":1,"adapters":["a"]}],
@@ -223,7 +223,7 @@
     CPPUNIT_ASSERT(!DecodeReport("{}"));
   }
 
-  void NothingMalformedEndsTheProcess()
+  void MalformedInputDoesNotCrash()
   {
     const std::string whole = SETTINGS;
     for (std::size_t length = 0; length < whole.size(); ++length)
--- a/Source/UnitTests/Platform/StoreClientTest.cpp
+++ b/Source/UnitTests/Platform/StoreClientTest.cpp
@@ -21,7 +21,7 @@
 using UnitTests::ThrottledServer;
 
 /// A response of the store with one row whose value has `value_bytes` bytes.
-std::string OneRow(std::size_t value_bytes)
+std::string OneRowResponse(std::size_t value_bytes)
 {
   const std::string row =
       R"({"key":"config","ver":7,"value":")" + std::string(value_bytes, 'A') + R"("})";
@@ -31,15 +31,15 @@
 class StoreClientTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(StoreClientTest);
-  CPPUNIT_TEST(ALargeChangeComesOverAWeakLink);
-  CPPUNIT_TEST(ALargeTableComesOverAWeakLink);
-  CPPUNIT_TEST(AStoreThatFallsSilentWithinAnAnswerIsGivenUp);
+  CPPUNIT_TEST(ReceivesLargeChangeOverSlowLink);
+  CPPUNIT_TEST(ReceivesLargeTableOverSlowLink);
+  CPPUNIT_TEST(TimesOutIfTheStoreStopsWithinAResponse);
   CPPUNIT_TEST_SUITE_END();
 
-  void ALargeChangeComesOverAWeakLink()
+  void ReceivesLargeChangeOverSlowLink()
   {
-    ThrottledServer store(OneRow(1073'000));
-    PlatformFace::StoreClient client(store.Address());
+    ThrottledServer store(OneRowResponse(1073'000));
+    PlatformAdapter::StoreClient client(store.Address());
     std::optional<Common::Result<Orders::TableRows>> changes;
     client.Follow("op", 6, Milliseconds(0), [&](Common::Result<Orders::TableRows> answer) {
       changes = std::move(answer);
@@ -52,10 +52,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), store.Calls());
   }
 
-  void ALargeTableComesOverAWeakLink()
+  void ReceivesLargeTableOverSlowLink()
   {
-    ThrottledServer store(OneRow(2400'000));
-    PlatformFace::StoreClient client(store.Address());
+    ThrottledServer store(OneRowResponse(2400'000));
+    PlatformAdapter::StoreClient client(store.Address());
     std::optional<Common::Result<Orders::TableRows>> rows;
     client.Read("op", "", [&](Common::Result<Orders::TableRows> answer) {
       rows = std::move(answer);
@@ -69,11 +69,11 @@
 
   /// An interrupted response must be detected early enough for the daemon's view to be current
   /// again within its 3 s.
-  void AStoreThatFallsSilentWithinAnAnswerIsGivenUp()
+  void TimesOutIfTheStoreStopsWithinAResponse()
   {
-    ThrottledServer store(OneRow(1073'000));
+    ThrottledServer store(OneRowResponse(1073'000));
     store.StopSendingAfter(100'000);
-    PlatformFace::StoreClient client(store.Address());
+    PlatformAdapter::StoreClient client(store.Address());
     std::optional<Common::Result<Orders::TableRows>> changes;
     client.Follow("op", 6, Milliseconds(2500), [&](Common::Result<Orders::TableRows> answer) {
       changes = std::move(answer);
