--- a/Source/Core/Platform/Store.h
+++ b/Source/Core/Platform/Store.h
@@ -20,8 +20,8 @@
 /// creates a receipt row with a unique key, on the condition that the row does not exist. Resending
 /// the transaction is therefore safe, and a conflict on the receipt means that an earlier attempt
 /// took effect. The sender's next transaction removes the receipt. Every transaction must have a
-/// condition that its own success makes false for good, on a row that it rewrites, so that a
-/// delayed copy cannot match after the receipt was removed.
+/// condition on a row that it rewrites. Its success makes that condition false for good, so that a
+/// delayed copy cannot take effect after the receipt was removed.
 template <PlatformClient Client>
 class BasicStore
 {
