--- a/Source/Core/Platform/HttpPlatform.cpp
+++ b/Source/Core/Platform/HttpPlatform.cpp
@@ -69,7 +69,7 @@
 
 /// Parses the body of a response with status 200 or 409 (a conflict, whose body lists the rows).
 /// Any other response is a failure.
-Result<Json> Parse(const Result<Http::Response>& response)
+Result<Json> ParseResponse(const Result<Http::Response>& response)
 {
   if (!response)
     return response.Reason();
@@ -105,7 +105,7 @@
   request.body = Common::DumpJson(ToJson(transaction));
   request.timeout = timeout;
   const auto response = co_await m_client.Send(std::move(request));
-  const auto json = Parse(response);
+  const auto json = ParseResponse(response);
   if (!json && json.Reason().kind == FailureKind::Unavailable)
     co_return Failure{FailureKind::OutcomeUnknown, json.Reason().detail};
   if (!json)
@@ -122,7 +122,7 @@
   Http::Request request = NewRequest("POST", "/v1/read");
   const Json body = {{"keys", keys}};
   request.body = Common::DumpJson(body);
-  const auto json = Parse(co_await m_client.Send(std::move(request)));
+  const auto json = ParseResponse(co_await m_client.Send(std::move(request)));
   if (!json)
     co_return json.Reason();
   co_return RowsFromJson(*json, "rows");
@@ -131,7 +131,7 @@
 Task<Result<std::vector<StoredRow>>> HttpPlatform::List(std::string prefix)
 {
   Http::Request request = NewRequest("GET", "/v1/list?prefix=" + EscapeQuery(prefix));
-  const auto json = Parse(co_await m_client.Send(std::move(request)));
+  const auto json = ParseResponse(co_await m_client.Send(std::move(request)));
   if (!json)
     co_return json.Reason();
   co_return RowsFromJson(*json, "rows");
@@ -142,7 +142,7 @@
   Http::Request request = NewRequest("PUT", "/v1/objects/" + EscapeQuery(key));
   request.body = std::move(content);
   request.content_type = "application/octet-stream";
-  const auto json = Parse(co_await m_client.Send(std::move(request)));
+  const auto json = ParseResponse(co_await m_client.Send(std::move(request)));
   if (!json)
     co_return json.Reason();
   co_return Common::Done{};
@@ -164,7 +164,7 @@
 Task<Result<std::vector<VmEntry>>> HttpPlatform::ListVms()
 {
   Http::Request request = NewRequest("GET", "/v1/vms");
-  const auto json = Parse(co_await m_client.Send(std::move(request)));
+  const auto json = ParseResponse(co_await m_client.Send(std::move(request)));
   if (!json)
     co_return json.Reason();
   std::vector<VmEntry> entries;
--- a/Source/Core/Platform/Store.h
+++ b/Source/Core/Platform/Store.h
@@ -37,9 +37,9 @@
                                                      Common::TimePoint deadline)
   {
     const std::string receipt = m_receipt_prefix + Common::NewId("");
-    const std::vector<std::string> settled = AddReceipt(transaction, receipt);
+    const std::vector<std::string> old_receipts = AddReceipt(transaction, receipt);
     bool maybe_sent = false;
-    Common::Milliseconds pause = FIRST_PAUSE;
+    Common::Milliseconds backoff = INITIAL_BACKOFF;
     while (true)
     {
       const auto left = std::chrono::duration_cast<Common::Milliseconds>(deadline - Common::Now());
@@ -47,35 +47,35 @@
       auto outcome = co_await m_client.Commit(transaction, timeout);
       if (outcome)
       {
-        NoteSuccess();
-        CommitOutcome result = Interpret(*outcome, receipt);
+        RecordSuccess();
+        CommitOutcome result = ResolveByReceipt(*outcome, receipt);
         // If the transaction did not commit, a later one removes the receipts.
         if (!result.committed)
-          m_settled.insert(m_settled.end(), settled.begin(), settled.end());
+          m_old_receipts.insert(m_old_receipts.end(), old_receipts.begin(), old_receipts.end());
         else
-          m_settled.push_back(receipt);
+          m_old_receipts.push_back(receipt);
         co_return result;
       }
-      NoteFailure();
+      RecordFailure();
       maybe_sent = maybe_sent || outcome.Reason().kind != Common::FailureKind::NotSent;
-      if (Common::Now() + pause >= deadline)
+      if (Common::Now() + backoff >= deadline)
       {
-        m_settled.insert(m_settled.end(), settled.begin(), settled.end());
+        m_old_receipts.insert(m_old_receipts.end(), old_receipts.begin(), old_receipts.end());
         co_return Common::Failure{maybe_sent ? Common::FailureKind::OutcomeUnknown
                                              : Common::FailureKind::NotSent,
                                   outcome.Reason().detail};
       }
       Common::LogEvent(Common::LogLevel::Warning, "platform.commit_unsettled",
                        {{"receipt", receipt}, {"reason", outcome.Reason().detail}});
-      co_await Common::Sleep{pause};
-      pause = std::min(pause * 2, MAX_PAUSE);
+      co_await Common::Sleep{backoff};
+      backoff = std::min(backoff * 2, MAX_BACKOFF);
     }
   }
 
   Common::Task<Common::Result<std::vector<StoredRow>>> Read(std::vector<std::string> keys)
   {
     auto rows = co_await m_client.Read(std::move(keys));
-    Note(static_cast<bool>(rows));
+    RecordResult(static_cast<bool>(rows));
     co_return rows;
   }
 
@@ -95,14 +95,14 @@
   Common::Task<Common::Result<std::vector<StoredRow>>> List(std::string prefix)
   {
     auto rows = co_await m_client.List(std::move(prefix));
-    Note(static_cast<bool>(rows));
+    RecordResult(static_cast<bool>(rows));
     co_return rows;
   }
 
   Common::Task<Common::Result<std::vector<VmEntry>>> ListVms()
   {
     auto entries = co_await m_client.ListVms();
-    Note(static_cast<bool>(entries));
+    RecordResult(static_cast<bool>(entries));
     co_return entries;
   }
 
@@ -119,12 +119,12 @@
   /// True if at least DOWN_AFTER calls in a row failed (object calls are not counted). Requests
   /// that need a claim are then refused at once. The table follower keeps calling, and its first
   /// successful call ends this state.
-  bool IsDown() const { return m_failures_in_a_row >= DOWN_AFTER; }
+  bool IsDown() const { return m_consecutive_failures >= DOWN_AFTER; }
 
 private:
   static constexpr int DOWN_AFTER = 2;
-  static constexpr Common::Milliseconds FIRST_PAUSE{20};
-  static constexpr Common::Milliseconds MAX_PAUSE{500};
+  static constexpr Common::Milliseconds INITIAL_BACKOFF{20};
+  static constexpr Common::Milliseconds MAX_BACKOFF{500};
   static constexpr Common::Milliseconds MIN_TIMEOUT{50};
   static constexpr Common::Milliseconds MAX_TIMEOUT{1000};
 
@@ -134,13 +134,13 @@
   {
     transaction.conditions.push_back({receipt, 0});
     transaction.writes.push_back({receipt, "1"});
-    std::vector<std::string> settled = std::exchange(m_settled, {});
-    for (const std::string& key : settled)
+    std::vector<std::string> old_receipts = std::exchange(m_old_receipts, {});
+    for (const std::string& key : old_receipts)
       transaction.writes.push_back({key, std::nullopt});
-    return settled;
+    return old_receipts;
   }
 
-  static CommitOutcome Interpret(const CommitOutcome& outcome, const std::string& receipt)
+  static CommitOutcome ResolveByReceipt(const CommitOutcome& outcome, const std::string& receipt)
   {
     if (outcome.committed)
       return outcome;
@@ -150,14 +150,14 @@
     return {true, found->version, {}};
   }
 
-  void Note(bool success) { success ? NoteSuccess() : NoteFailure(); }
-  void NoteSuccess() { m_failures_in_a_row = 0; }
-  void NoteFailure() { ++m_failures_in_a_row; }
+  void RecordResult(bool success) { success ? RecordSuccess() : RecordFailure(); }
+  void RecordSuccess() { m_consecutive_failures = 0; }
+  void RecordFailure() { ++m_consecutive_failures; }
 
   Client& m_client;
   std::string m_receipt_prefix;
-  std::vector<std::string> m_settled;
-  int m_failures_in_a_row = 0;
+  std::vector<std::string> m_old_receipts;
+  int m_consecutive_failures = 0;
 };
 
 using Store = BasicStore<HttpPlatform>;
