--- a/Source/Core/Daemons/Codec.h
+++ b/Source/Core/Daemons/Codec.h
@@ -22,9 +22,9 @@
 
 #include "Common/Failure.h"
 
-/// Messages as bytes. The archives are cereal's extension points: they write to and read from a
-/// string, and the reader refuses a length that exceeds the bytes that are left, so that a
-/// malformed message cannot make it allocate.
+/// Binary serialization of the messages between daemons. The two cereal archives write to and read
+/// from a string. The input archive rejects a length that exceeds the remaining bytes, so that a
+/// malformed message cannot cause a large allocation.
 namespace Daemons
 {
 static_assert(std::endian::native == std::endian::little, "messages are little-endian");
@@ -70,12 +70,12 @@
   std::string_view m_in;
 };
 
-/// Integers of more than one byte take as many bytes as they need (LEB128, signed ones in zigzag
-/// order): most lengths, counts and versions are small, and reports hold thousands of them.
+/// Integers wider than one byte are encoded as LEB128 varints, signed ones after zigzag mapping:
+/// most lengths, counts and versions are small, and reports hold thousands of them.
 template <typename T>
 concept VariableLength = std::is_integral_v<T> &&(sizeof(T) > 1);
 
-/// The bits of a byte that hold a value; the last bit tells that another byte follows.
+/// Value bits per varint byte. The top bit is set if another byte follows.
 constexpr unsigned VARINT_BITS = 7;
 constexpr std::uint8_t VARINT_MORE = 0x80;
 constexpr unsigned MAX_VARINT_SHIFT = 63;
@@ -103,7 +103,7 @@
     if (byte < VARINT_MORE)
       return value;
   }
-  throw cereal::Exception("an integer is too long");
+  throw cereal::Exception("a varint is longer than 10 bytes");
 }
 
 constexpr std::uint64_t ToZigzag(std::int64_t value)
@@ -137,7 +137,7 @@
     const std::uint64_t bits = LoadVarint(archive);
     const auto in_range = [&](auto wide) {
       if (!std::in_range<T>(wide))
-        throw cereal::Exception("an integer exceeds its type");
+        throw cereal::Exception("an integer is out of range for its type");
       return static_cast<T>(wide);
     };
     if constexpr (std::is_signed_v<T>)
@@ -173,7 +173,7 @@
   std::uint64_t size = 0;
   archive(size);
   if (size > archive.Left())
-    throw cereal::Exception("a length exceeds the message");
+    throw cereal::Exception("a length exceeds the rest of the message");
   tag.size = static_cast<cereal::size_type>(size);
 }
 
@@ -198,7 +198,7 @@
   return bytes;
 }
 
-/// Fails with Protocol where the bytes are not exactly one message of this type.
+/// Fails with Protocol unless the bytes are exactly one message of this type.
 template <typename T>
 Common::Result<T> Decode(std::string_view bytes)
 {
@@ -208,7 +208,7 @@
     StringInputArchive archive(bytes);
     archive(message);
     if (archive.Left() != 0)
-      return {Common::FailureKind::Protocol, "bytes are left behind the message"};
+      return {Common::FailureKind::Protocol, "unexpected bytes after the message"};
     return message;
   }
   catch (const std::exception& error)
--- a/Source/Core/Daemons/Link.cpp
+++ b/Source/Core/Daemons/Link.cpp
@@ -27,10 +27,11 @@
 using Http::GRef;
 
 constexpr std::size_t MAX_DATAGRAM_BYTES = 1400;
-/// Rough size of a heartbeat on the wire, with IP and UDP headers.
+/// Approximate size of a heartbeat on the wire, including the IP and UDP headers.
 constexpr std::int64_t HEARTBEAT_WIRE_BYTES = 200;
 
-/// Roles depend on the daemons of one's own data centre; those of the others need less attention.
+/// Roles are assigned among the daemons of the same data centre, so peers in other data centres get
+/// a smaller share of the heartbeat traffic.
 enum class Scope
 {
   Local,
@@ -41,7 +42,7 @@
 
 using Pending = std::map<std::int64_t, Completion<Result<Reply>>>;
 
-/// The connection that this daemon opened to a peer, with the calls that wait on it.
+/// The connection that this daemon opened to a peer, and the calls awaiting a reply on it.
 struct Outbound
 {
   std::shared_ptr<PeerConnection> connection;
@@ -126,7 +127,7 @@
 
   static Failure TakeError(GError* error)
   {
-    Failure failure{FailureKind::Unavailable, error ? error->message : "unknown"};
+    Failure failure{FailureKind::Unavailable, error ? error->message : "unknown socket error"};
     g_clear_error(&error);
     return failure;
   }
@@ -164,7 +165,8 @@
       on_heartbeat(*heartbeat);
   }
 
-  /// A peer that was never heard of may be near: it is treated so until it answers.
+  /// A peer may be in this data centre until its first heartbeat shows where it is, so it is
+  /// treated as local until then.
   Scope ScopeOf(const Membership::Peer& peer) const
   {
     const bool far = peer.heard && peer.last.data_centre != membership.Self().data_centre;
@@ -202,8 +204,9 @@
     }
   }
 
-  /// A frozen or cut-off peer closes nothing: its silence ends the calls that wait for it, so that
-  /// they can go to the one that takes its roles over.
+  /// A frozen or partitioned peer does not close its connections. Closes them here once its
+  /// heartbeats stop, so that pending calls fail and can go to the daemon that takes over its
+  /// roles.
   void GiveUpSilentPeers()
   {
     const auto now = Common::Now();
@@ -221,7 +224,7 @@
     });
   }
 
-  /// Serves the calls that a peer sends on a connection that it opened.
+  /// Serves the calls on a connection that a peer opened.
   Task<void> ServeConnection(GRef<GSocketConnection> raw)
   {
     auto connection = std::make_shared<PeerConnection>(std::move(raw), settings.key,
@@ -266,8 +269,8 @@
     connection.Send(std::move(bytes));
   }
 
-  /// The open connection to a peer; opens one where there is none. Callers that come while it is
-  /// being opened wait for the same one.
+  /// Opens a connection to a peer unless there is one. Concurrent callers wait for the same
+  /// connection attempt. Returns whether the peer is connected.
   Task<bool> EnsureConnected(VmId vm, std::string address)
   {
     if (outbound[vm].connection && outbound[vm].connection->IsOpen())
@@ -337,7 +340,7 @@
       }
       Pending& pending = outbound[vm].pending;
       const auto found = pending.find(envelope->call_id);
-      // A reply that came after its call was given up is dropped here.
+      // The call has timed out: drop its late reply.
       if (found == pending.end())
         continue;
       found->second.Set(std::move(std::get<Reply>(envelope->body)));
@@ -347,7 +350,8 @@
     if (outbound[vm].connection != connection)
       co_return;
     for (auto& [id, completion] : std::exchange(outbound[vm].pending, {}))
-      completion.Set(Failure{FailureKind::OutcomeUnknown, "the connection to the peer ended"});
+      completion.Set(Failure{FailureKind::OutcomeUnknown,
+                             "the connection to the peer was closed before its reply"});
   }
 
   Task<Result<Reply>> Ask(VmId vm, Call call, Milliseconds timeout)
@@ -359,12 +363,12 @@
     }
     const Membership::Peer* peer = membership.Find(vm);
     if (!peer || peer->address.empty())
-      co_return Failure{FailureKind::NotSent, "no address of " + vm.Get()};
+      co_return Failure{FailureKind::NotSent, "no known address for " + vm.Get()};
     const std::string address = peer->address;
     const auto deadline = Common::Now() + timeout;
     const bool connected = co_await EnsureConnected(vm, address);
     if (!connected)
-      co_return Failure{FailureKind::NotSent, "no connection to " + vm.Get()};
+      co_return Failure{FailureKind::NotSent, "could not connect to " + vm.Get()};
     Outbound& out = outbound[vm];
     const std::int64_t id = next_call++;
     Completion<Result<Reply>> completion;
@@ -401,7 +405,7 @@
 
 Result<Done> Link::Start()
 {
-  // TCP first: binding it proves that no earlier process of this VM still runs.
+  // TCP first: the bind succeeds only if no earlier daemon process of this VM still runs.
   auto tcp = m_impl->OpenTcp();
   if (!tcp)
     return tcp;
--- a/Source/Core/Daemons/Link.h
+++ b/Source/Core/Daemons/Link.h
@@ -18,29 +18,29 @@
 {
 struct LinkSettings
 {
-  std::string address; ///< Of this daemon: IP.
-  int port = 0;        ///< UDP and TCP.
-  std::string key;     ///< Shared by all daemons.
+  std::string address; ///< IP address of this daemon.
+  int port = 0;        ///< For UDP and TCP.
+  std::string key;     ///< Authentication key shared by all daemons.
   Common::Milliseconds heartbeat_interval{250};
-  /// For control this daemon sends at most so many bytes of heartbeats a second to the daemons of
-  /// its data centre, and to those of the others: with many peers the intervals grow instead.
+  /// Limits on the heartbeat bytes sent per second to the daemons of the same data centre and to
+  /// those of other data centres. With many peers the heartbeat interval grows to stay within them.
   std::int64_t local_bytes_per_second = 4500;
   std::int64_t remote_bytes_per_second = 1500;
 };
 
-/// Counters of what went over the link; read by the dump and the metrics.
+/// Traffic counters of the link, shown in the dump and the metrics.
 struct LinkCounters
 {
   std::int64_t heartbeats_sent = 0;
   std::int64_t heartbeats_received = 0;
   std::int64_t bytes_sent = 0;
   std::int64_t bytes_received = 0;
-  std::int64_t rejected = 0; ///< Wrong key, version, size, form, or a replay.
+  std::int64_t rejected = 0; ///< Wrong key, version or size, malformed, or replayed.
   std::int64_t calls_sent = 0;
   std::int64_t calls_received = 0;
 };
 
-/// Speaks with the other daemons: heartbeats by UDP, calls by TCP.
+/// Communication with the other daemons: heartbeats over UDP, calls over TCP.
 class Link
 {
 public:
@@ -56,11 +56,11 @@
   void OnHeartbeat(HeartbeatHandler handler);
   Common::Result<Common::Done> Start();
 
-  /// Calls another daemon, or this one without the network. Failures: NotSent where no connection
-  /// was had; Timeout and OutcomeUnknown where it may have been received.
+  /// Calls another daemon, or this one without using the network. Fails with NotSent if there was
+  /// no connection, and with Timeout or OutcomeUnknown if the peer may have received the call.
   Common::Task<Common::Result<Reply>> Ask(Common::VmId vm, Call call, Common::Milliseconds timeout);
 
-  /// Sends heartbeats now instead of at the next interval: there is news.
+  /// Sends heartbeats without waiting for the next interval, after a change of the local state.
   void Announce();
 
   const LinkCounters& Counters() const;
--- a/Source/Core/Daemons/Membership.cpp
+++ b/Source/Core/Daemons/Membership.cpp
@@ -10,7 +10,7 @@
 {
 namespace
 {
-/// A peer is dead after so many heartbeats that it promised and did not send.
+/// Number of missed heartbeats, by the interval that the peer announced, after which it is dead.
 constexpr std::int64_t MISSED_HEARTBEATS = 4;
 } // namespace
 
@@ -129,14 +129,14 @@
 {
   if (vm == m_self.vm)
   {
-    // The address that this process holds could be bound only once its predecessor was dead.
+    // This process could bind its address only after the previous incarnation had ended.
     *since = TimePoint{};
     return incarnation == m_self.incarnation ? HolderStatus::Alive : HolderStatus::Gone;
   }
   const Peer* peer = Find(vm);
   if (!peer)
   {
-    // Never seen here: it left the list before this daemon came, or is too new to be listed.
+    // Unknown VM: it left the list before this daemon started, or is too new to be listed.
     *since = m_list_since.value_or(now) + m_settings.list_lag;
     return m_list_since && now >= *since ? HolderStatus::Gone : HolderStatus::Silent;
   }
--- a/Source/Core/Daemons/Membership.h
+++ b/Source/Core/Daemons/Membership.h
@@ -15,24 +15,25 @@
 
 namespace Daemons
 {
-/// What is known of the daemon that made a claim.
+/// Liveness of the daemon incarnation that made a claim.
 enum class HolderStatus
 {
-  Alive,  ///< Heard of lately in this incarnation.
-  Silent, ///< Not heard of; it may be frozen or cut off and act later.
-  Gone,   ///< Its VM left the platform's list, or runs a newer incarnation: it cannot act again.
+  Alive,  ///< Sent a recent heartbeat in this incarnation.
+  Silent, ///< No recent heartbeat; it may be frozen or partitioned and act later.
+  Gone,   ///< Its VM left the platform's list or runs another incarnation: it cannot act again.
 };
 
 struct MembershipSettings
 {
-  /// At least; a peer that promises rarer heartbeats is given four of its intervals.
+  /// Minimum time without a heartbeat after which a peer is dead. A peer that announces longer
+  /// heartbeat intervals gets four of them.
   Common::Milliseconds dead_after{1500};
-  /// The platform's list names a new VM within this time. Only a VM that this daemon has missed
-  /// in the list for longer is gone; before that it may just be new.
+  /// Maximum delay until the platform's list includes a new VM. An unknown VM counts as gone only
+  /// when the list has lacked it for longer than this; before that it may be new.
   Common::Milliseconds list_lag{30000};
 };
 
-/// Who runs drumpond where. Holds state only; sending and receiving is Link's.
+/// The known daemons and their liveness. Holds state only; Link sends and receives.
 class Membership
 {
 public:
@@ -40,31 +41,32 @@
   {
     Common::VmId vm;
     std::string address;
-    bool listed = false;  ///< In the platform's list, or named by the settings.
-    bool retired = false; ///< Was listed by the platform and is no more.
+    bool listed = false;  ///< In the platform's list or a seed from the settings.
+    bool retired = false; ///< No longer in the platform's list, and no heartbeats.
     Heartbeat last;
     bool heard = false;
     Common::TimePoint heard_at;
-    Common::TimePoint changed_at; ///< Since when it is retired or in its present incarnation.
+    Common::TimePoint
+        changed_at; ///< When it was retired or its current incarnation was first seen.
   };
 
   Membership(Heartbeat self, MembershipSettings settings);
 
-  /// Takes over the platform's list; it lags, so a VM that it no longer names is gone for certain.
+  /// Applies the platform's list. The list lags behind, so a VM that has left it no longer runs.
   void SetListed(const std::vector<Platform::VmEntry>& entries, Common::TimePoint now);
-  /// Adds a peer of the settings.
+  /// Adds a peer from the settings.
   void AddSeed(const Common::VmId& vm, const std::string& address);
-  /// Takes a heartbeat. False where it is old, a replay, or of an unknown VM.
+  /// Records a heartbeat. Returns false if it is old, replayed, or from an unknown VM.
   bool Accept(const Heartbeat& heartbeat, Common::TimePoint now);
 
   const std::map<Common::VmId, Peer>& Peers() const { return m_peers; }
   const Peer* Find(const Common::VmId& vm) const;
   bool IsAlive(const Common::VmId& vm, Common::TimePoint now) const;
-  /// The live daemons of a data centre that may have roles, this one included.
+  /// The live daemons of a data centre that may be assigned roles, including this one.
   std::vector<Common::VmId> LiveIn(const Common::DataCentreId& data_centre,
                                    Common::TimePoint now) const;
   std::vector<Common::VmId> LiveEverywhere(Common::TimePoint now) const;
-  /// The status of a claim's holder, and for Gone since when.
+  /// The status of a claim's holder. For Gone, `since` is set to the time of that change.
   HolderStatus StatusOf(const Common::VmId& vm, const Common::Incarnation& incarnation,
                         Common::TimePoint now, Common::TimePoint* since) const;
 
@@ -75,6 +77,6 @@
   Heartbeat m_self;
   MembershipSettings m_settings;
   std::map<Common::VmId, Peer> m_peers;
-  std::optional<Common::TimePoint> m_list_since; ///< Since the first list came.
+  std::optional<Common::TimePoint> m_list_since; ///< When the first list was received.
 };
 } // namespace Daemons
--- a/Source/Core/Daemons/Messages.h
+++ b/Source/Core/Daemons/Messages.h
@@ -12,23 +12,24 @@
 #include "Common/Units.h"
 #include "Table/Change.h"
 
-/// What daemons say to each other. A change of any field is a new PROTOCOL_VERSION.
+/// Messages between daemons. Any change of a field requires a new PROTOCOL_VERSION.
 namespace Daemons
 {
 constexpr std::uint8_t PROTOCOL_VERSION = 1;
 
-/// Sent by UDP to every other daemon; says who is there and whether there is news to pull.
+/// Sent over UDP to every other daemon: shows that the sender is alive, and by its versions whether
+/// there are changes to pull.
 struct Heartbeat
 {
   Common::VmId vm;
   Common::DataCentreId data_centre;
   Common::Incarnation incarnation;
-  std::int64_t started_ms = 0;  ///< Wall clock at the start: orders incarnations of one VM.
-  std::int64_t sequence = 0;    ///< Grows by one; an older one is dropped.
-  std::int64_t interval_ms = 0; ///< The next one to this receiver comes within this time.
+  std::int64_t started_ms = 0;  ///< Wall clock at startup; orders the incarnations of a VM.
+  std::int64_t sequence = 0;    ///< Increases with each one sent; older ones are dropped.
+  std::int64_t interval_ms = 0; ///< Time until the next heartbeat to this receiver.
   bool leaving = false;
   Common::Revision table_revision;
-  std::int64_t state_version = 0; ///< Of the sender's backend server states.
+  std::int64_t state_version = 0; ///< Version of the sender's backend server states.
 
   template <typename Archive>
   void serialize(Archive& archive)
@@ -40,9 +41,9 @@
 
 enum class ReplicaState : std::uint8_t
 {
-  Ordered,   ///< Claimed; its load order may be on its way.
+  Ordered,   ///< Claimed; the load order may still be in transit.
   Loaded,    ///< Serves requests.
-  Unloading, ///< Gets no new work.
+  Unloading, ///< Gets no new requests.
 };
 
 /// A claimed replica on a backend server.
@@ -55,7 +56,7 @@
   std::int64_t running = 0;
   std::int64_t idle_ms = 0;
   std::int64_t served = 0;
-  bool surplus = false; ///< Above the table's replicas: no new work.
+  bool surplus = false; ///< Exceeds the replica count of the table: gets no new requests.
 
   bool operator==(const ReplicaStatus&) const = default;
 
@@ -66,13 +67,13 @@
   }
 };
 
-/// What the keeper of a backend server knows of it.
+/// State of a backend server as known by its keeper, the daemon that manages it.
 struct ServerStatus
 {
   Common::VmId vm;
   Common::VmId keeper;
   Common::Incarnation incarnation;
-  std::int64_t row_version = 0; ///< Of the platform's row; an older state never wins.
+  std::int64_t row_version = 0; ///< Version of the platform's row; an older state is never applied.
   bool ready = false;
   Common::MegaBytes capacity;
   Common::MegaBytes claimed;
@@ -92,14 +93,14 @@
   }
 };
 
-/// Entry daemon to the home of a model: make it servable.
+/// From an entry daemon to the home of a model: requests that the model be loaded.
 struct LoadRequest
 {
   Common::ArtifactId artifact;
   Common::RequestId request;
-  std::int64_t patience_ms = 0; ///< Until the deadline of the most urgent waiter.
+  std::int64_t patience_ms = 0; ///< Time until the earliest deadline of the waiting requests.
   std::int64_t waiting = 0;
-  bool more = false; ///< All loaded replicas are full.
+  bool more = false; ///< Requests another replica: all loaded ones are at capacity.
 
   template <typename Archive>
   void serialize(Archive& archive)
@@ -108,7 +109,7 @@
   }
 };
 
-/// The home's answer: where the model is served, or why it is not.
+/// The home's reply: the backend server of the model, or why it was not loaded.
 struct LoadReply
 {
   Common::FailureKind failure = Common::FailureKind::None;
@@ -123,7 +124,8 @@
   }
 };
 
-/// Home to the keeper of a backend server: free these claims, then claim and load.
+/// From a model's home to the keeper of a backend server: release these claims, then claim and
+/// load.
 struct PlaceOrder
 {
   Common::VmId server;
@@ -139,7 +141,8 @@
   }
 };
 
-/// The keeper's answer. `holders` names the backend servers where all slots are claimed already.
+/// The keeper's reply. `holders` lists the backend servers that hold the existing claims if all
+/// slots of the artifact are already claimed.
 struct PlaceReply
 {
   Common::FailureKind failure = Common::FailureKind::None;
@@ -153,7 +156,7 @@
   }
 };
 
-/// Asks a peer for the backend servers that it keeps.
+/// Requests the status of the backend servers of which the peer is the keeper.
 struct StatusPull
 {
   template <typename Archive>
@@ -174,7 +177,7 @@
   }
 };
 
-/// Asks a peer for the table from revision `have` on.
+/// Requests the changes of the table after revision `have`.
 struct TablePull
 {
   Common::Revision have;
@@ -186,7 +189,7 @@
   }
 };
 
-/// The changes from `have` on where the peer still holds them, otherwise the whole table.
+/// The changes after `have` if the peer still has them, otherwise the whole table.
 struct TableReply
 {
   Common::Revision revision;
@@ -201,7 +204,8 @@
   }
 };
 
-/// Keeper to the daemon that paces the weight store: asks to start one load from it.
+/// From a keeper to the daemon that limits the load on the weight store: requests a permit to start
+/// one load from it.
 struct PermitRequest
 {
   Common::ClaimId claim;
@@ -228,7 +232,7 @@
   }
 };
 
-/// The load that had the permit is over.
+/// Returns the permit of a load that has ended.
 struct PermitReturn
 {
   Common::ClaimId claim;
@@ -244,7 +248,7 @@
     std::variant<LoadRequest, PlaceOrder, StatusPull, TablePull, PermitRequest, PermitReturn>;
 using Reply = std::variant<LoadReply, PlaceReply, StatusReply, TableReply, PermitReply>;
 
-/// One message on a TCP connection between daemons; replies carry the number of their call.
+/// A message on a TCP connection between daemons. A reply has the call_id of its call.
 struct Envelope
 {
   std::int64_t call_id = 0;
@@ -257,7 +261,7 @@
   }
 };
 
-/// The first message of a TCP connection.
+/// Identifies the sender of a TCP connection, as its first message. Link does not send it.
 struct Hello
 {
   Common::VmId vm;
--- a/Source/Core/Daemons/PeerConnection.cpp
+++ b/Source/Core/Daemons/PeerConnection.cpp
@@ -118,18 +118,18 @@
   std::string head;
   const bool have_head = co_await ReadExactly(head, LENGTH_BYTES + SEAL_BYTES);
   if (!have_head)
-    co_return Failure{FailureKind::OutcomeUnknown, "the connection ended"};
+    co_return Failure{FailureKind::OutcomeUnknown, "the connection was closed"};
   std::uint32_t length = 0;
   std::memcpy(&length, head.data(), sizeof(length));
   if (length > MAX_FRAME_BYTES)
-    co_return Failure{FailureKind::Protocol, "a frame is too large"};
+    co_return Failure{FailureKind::Protocol, "a frame exceeds the size limit"};
   std::string payload;
   const bool have_payload = co_await ReadExactly(payload, length);
   if (!have_payload)
-    co_return Failure{FailureKind::OutcomeUnknown, "the connection ended in a frame"};
+    co_return Failure{FailureKind::OutcomeUnknown, "the connection was closed within a frame"};
   const std::string expected = ComputeSeal(m_key, Context(false, m_received++), payload);
   if (!SealMatches(std::string_view(head).substr(LENGTH_BYTES), expected))
-    co_return Failure{FailureKind::Protocol, "a frame has a wrong seal"};
+    co_return Failure{FailureKind::Protocol, "a frame failed authentication"};
   co_return payload;
 }
 } // namespace Daemons
--- a/Source/Core/Daemons/PeerConnection.h
+++ b/Source/Core/Daemons/PeerConnection.h
@@ -16,9 +16,10 @@
 
 namespace Daemons
 {
-/// One authenticated TCP connection between daemons. Frame: length (4 bytes, little-endian), seal,
-/// payload. The seal covers a nonce that the accepting side drew for this connection, the
-/// direction and the number of the frame, so that no frame can be replayed or reordered.
+/// An authenticated TCP connection between daemons. Frame: length (4 bytes, little-endian), message
+/// authentication code (MAC), payload. The MAC covers the payload, a random nonce of the connection
+/// that the accepting side generates, and the direction and number of the frame, so that frames
+/// cannot be replayed or reordered.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection>
 {
 public:
@@ -33,12 +34,12 @@
   PeerConnection(Http::GRef<GSocketConnection> connection, std::string key, Side side);
   ~PeerConnection();
 
-  /// Exchanges the nonce. False where the peer is gone.
+  /// Sends or receives the nonce. Returns false if the connection was closed before.
   Common::Task<bool> Handshake();
-  /// Queues a frame; frames go out in order.
+  /// Queues a frame. Frames are sent in order.
   void Send(std::string payload);
-  /// The next frame's payload. Fails with Protocol on a frame that is not ours, with
-  /// OutcomeUnknown at the end of the connection.
+  /// Returns the payload of the next frame. Fails with Protocol if the frame is too large or not
+  /// authentic, and with OutcomeUnknown if the connection was closed.
   Common::Task<Common::Result<std::string>> Receive();
   void Close();
   bool IsOpen() const { return m_open; }
--- a/Source/Core/Daemons/Seal.h
+++ b/Source/Core/Daemons/Seal.h
@@ -9,17 +9,18 @@
 
 namespace Daemons
 {
-/// Length of the authentication code in bytes (HMAC-SHA256, cut to 128 bits).
+/// Length of a message authentication code (MAC): HMAC-SHA256, truncated to 128 bits.
 constexpr std::size_t SEAL_BYTES = 16;
 
-/// The code of `context` and `payload` under the shared key.
+/// Computes the MAC of `context` and `payload` with the shared key.
 std::string ComputeSeal(std::string_view key, std::string_view context, std::string_view payload);
 
-/// Compares in constant time.
+/// Compares two MACs in constant time.
 bool SealMatches(std::string_view seal, std::string_view expected);
 
-/// A datagram: protocol version, seal, payload.
+/// Builds a datagram: protocol version, MAC, payload.
 std::string SealDatagram(std::string_view key, std::string_view payload);
-/// The payload, or nothing for another version, a wrong key or a truncated datagram.
+/// Returns the payload, or nothing if the datagram has another version, is truncated, or is not
+/// authentic.
 std::optional<std::string_view> OpenDatagram(std::string_view key, std::string_view datagram);
 } // namespace Daemons
--- a/Source/UnitTests/Daemons/CodecTest.cpp
+++ b/Source/UnitTests/Daemons/CodecTest.cpp
@@ -58,7 +58,7 @@
   void AHugeLengthDoesNotAllocate()
   {
     std::string bytes = Daemons::Encode(Beat(1));
-    CPPUNIT_ASSERT_EQUAL('\7', bytes[0]); // The length of "entry-2".
+    CPPUNIT_ASSERT_EQUAL('\7', bytes[0]); // Length prefix of "entry-2".
     const std::string huge = Daemons::Encode(std::uint64_t(1) << 60);
     bytes.replace(0, 1, huge);
     CPPUNIT_ASSERT(!Daemons::Decode<Daemons::Heartbeat>(bytes));
