--- a/Source/Core/Common/Compression.cpp
+++ b/Source/Core/Common/Compression.cpp
@@ -14,11 +14,11 @@
 {
 namespace
 {
-/// The fastest of zstd's levels. For a text of 845 KB with its old version as the dictionary it
-/// takes 2 ms, where zlib with its window of 32 KB took 10 ms, and the change of one line takes 140
-/// bytes, not 75 KB. Higher levels gave nothing.
+/// The fastest standard level of zstd. Compressing a text of 845 KB with its old version as the
+/// dictionary takes 2 ms, and a change of one line results in 140 bytes. zlib with its window of
+/// 32 KB took 10 ms and needed 75 KB. Higher zstd levels brought no improvement.
 constexpr int LEVEL = 1;
-/// From this length of text and dictionary on, zstd's own window may not reach the whole of both.
+/// Above this total size of text and dictionary, zstd's default window may not cover both.
 constexpr std::size_t LONG_TEXT = 100'000;
 
 struct FreeContext
@@ -27,8 +27,8 @@
   void operator()(ZSTD_DCtx* context) const { ZSTD_freeDCtx(context); }
 };
 
-/// Contexts are kept, as to make one takes longer than a short text; zstd itself gives back what a
-/// long one needed.
+/// Contexts are reused because creating one takes longer than compressing a short text. zstd itself
+/// releases the memory that a long text needed.
 ZSTD_CCtx* Compressor()
 {
   static const std::unique_ptr<ZSTD_CCtx, FreeContext> s_context(ZSTD_createCCtx());
@@ -60,7 +60,8 @@
       ZSTD_compress2(context, packed.data(), packed.size(), bytes.data(), bytes.size());
   if (ZSTD_isError(size) != 0)
   {
-    // With room for the bound only for want of memory. Whoever unpacks the empty text refuses it.
+    // The output buffer has the maximum size, so this fails only if memory runs out. Decompress()
+    // rejects the empty result.
     LogEvent(LogLevel::Error, "compression-failed", {{"reason", ZSTD_getErrorName(size)}});
     return "";
   }
@@ -72,16 +73,17 @@
                                std::size_t max_size)
 {
   const auto size = ZSTD_getFrameContentSize(packed.data(), packed.size());
-  // zstd's two values for an unknown size and for no frame at all lie above every limit.
+  // ZSTD_CONTENTSIZE_UNKNOWN and ZSTD_CONTENTSIZE_ERROR are larger than any limit.
   if (size > max_size)
-    return {FailureKind::Protocol, "no compressed text, or too long"};
+    return {FailureKind::Protocol,
+            "not a compressed text, or its size is unknown or exceeds the limit"};
   ZSTD_DCtx* context = Decompressor();
   ZSTD_DCtx_refPrefix(context, dictionary.data(), dictionary.size());
   std::string bytes(size, '\0');
   const std::size_t done =
       ZSTD_decompressDCtx(context, bytes.data(), bytes.size(), packed.data(), packed.size());
   if (done != bytes.size())
-    return {FailureKind::Protocol, "no whole compressed text"};
+    return {FailureKind::Protocol, "incomplete or corrupt compressed text, or wrong dictionary"};
   return bytes;
 }
 } // namespace Common
--- a/Source/Core/Common/Compression.h
+++ b/Source/Core/Common/Compression.h
@@ -8,15 +8,15 @@
 
 #include "Common/Failure.h"
 
-/// Compression of what daemons send each other, by Zstandard. A dictionary that both sides have
-/// makes the new version of a known text short: what it shares with the old one is only referred
-/// to, however far apart the two places lie.
+/// Zstandard compression of the messages between daemons. With the old version of a text as the
+/// dictionary on both sides, its new version compresses well: matching parts are encoded as
+/// references, however far apart their positions are.
 namespace Common
 {
 std::string Compress(std::string_view bytes, std::string_view dictionary);
 
-/// Fails with Protocol where the bytes are not a whole compressed text, need another dictionary, or
-/// become longer than `max_size`.
+/// Fails with Protocol if the input is not a complete compressed text, needs another dictionary, or
+/// decompresses to more than `max_size` bytes.
 Result<std::string> Decompress(std::string_view packed, std::string_view dictionary,
                                std::size_t max_size);
 } // namespace Common
--- a/Source/Core/Common/Decimal.h
+++ b/Source/Core/Common/Decimal.h
@@ -8,7 +8,7 @@
 
 namespace Common
 {
-/// A decimal number without sign or exponent; blanks may follow it. Infinite where it is larger
-/// than a double holds.
+/// Parses a decimal number without sign or exponent; trailing blanks are allowed. Returns infinity
+/// if the number is out of range for a double.
 std::optional<double> ParseDecimal(std::string_view text);
 } // namespace Common
--- a/Source/Core/Common/Digest.h
+++ b/Source/Core/Common/Digest.h
@@ -7,6 +7,6 @@
 
 namespace Common
 {
-/// SHA-256 of the text, as 64 hexadecimal digits.
+/// Returns the SHA-256 digest of `text` as 64 hexadecimal digits.
 std::string Sha256Hex(const std::string& text);
 } // namespace Common
--- a/Source/Core/Common/Failure.h
+++ b/Source/Core/Common/Failure.h
@@ -10,36 +10,36 @@
 
 namespace Common
 {
-/// Why an operation gave no value. Each kind tells the code above what it may do next.
+/// Why an operation returned no value. The kind determines how the caller may react.
 enum class FailureKind
 {
   None,
   InvalidInput,       ///< Malformed or out of range; the same input never succeeds.
-  NotFound,           ///< The named thing does not exist.
-  Conflict,           ///< A compare-and-set lost, or the state forbids the operation.
-  NotSent,            ///< Nothing reached the peer; trying elsewhere is safe.
-  Refused,            ///< The peer definitely declined and did not run it.
-  Overloaded,         ///< Declined for want of capacity; a later try may succeed.
+  NotFound,           ///< The named object does not exist.
+  Conflict,           ///< A compare-and-set failed, or the state forbids the operation.
+  NotSent,            ///< Nothing reached the peer; a retry elsewhere is safe.
+  Refused,            ///< The peer declined the operation without running it.
+  Overloaded,         ///< Declined due to lack of capacity; a later retry may succeed.
   DeadlineUnmeetable, ///< The work cannot be finished before its deadline.
-  Timeout,            ///< No answer in time; the peer may have acted.
-  OutcomeUnknown,     ///< The exchange broke after the first byte went out.
+  Timeout,            ///< No response in time; the peer may have run it.
+  OutcomeUnknown,     ///< The exchange failed after the first byte was sent.
   Unavailable,        ///< The peer is out of service.
-  Protocol,           ///< The peer answered something that is not its protocol.
-  Unauthorized,       ///< The credentials are missing or do not suffice.
-  Stopping,           ///< This process is stopping and takes no new work.
+  Protocol,           ///< The peer's response violates the protocol.
+  Unauthorized,       ///< The credentials are missing or insufficient.
+  Stopping,           ///< This process is shutting down and accepts no new work.
 };
 
-/// The lower-case name of `kind` as it stands in logs and JSON.
+/// The lower-case name of `kind` in logs and JSON.
 std::string_view ToString(FailureKind kind);
 
-/// A typed reason, with a detail for people. Code decides by `kind` only.
+/// A failure kind with a human-readable detail. Code must only evaluate `kind`.
 struct Failure
 {
   FailureKind kind = FailureKind::None;
   std::string detail;
 };
 
-/// An optional value together with the last reason why it is missing.
+/// Either a value or the failure that prevented it.
 template <typename T>
 class Result
 {
@@ -61,7 +61,7 @@
   Failure m_reason;
 };
 
-/// The value of an operation that has nothing else to return.
+/// The result type of an operation without a return value.
 struct Done
 {
 };
--- a/Source/Core/Common/FieldReader.h
+++ b/Source/Core/Common/FieldReader.h
@@ -13,36 +13,36 @@
 
 namespace Common
 {
-/// What a number must be.
+/// Unit and allowed range of a number.
 struct ExpectedNumber
 {
   std::string_view unit;
   double least = 0;
   double most = 0;
-  double milliseconds = 0; ///< In one unit, where it is a span of time.
+  double milliseconds = 0; ///< Milliseconds per unit, if the number is a duration.
 };
 
-/// Reads the fields of a settings file and keeps a line for each that is missing or wrong, so that
-/// whoever wrote the file sees all of it at once. Paths are JSON pointers: "/listen/front".
+/// Reads the fields of a settings file and collects a message for each missing or invalid one, so
+/// that all errors are reported at once. Paths are JSON pointers: "/listen/front".
 class FieldReader
 {
 public:
   /// `fields` must outlive the reader.
   explicit FieldReader(const Json& fields) : m_fields(fields) {}
 
-  /// A text that is needed; empty where it is missing.
+  /// Reads a required, non-empty string. Returns an empty string on error.
   std::string Text(const char* path);
-  /// A number that is needed; the least one allowed where it is missing.
+  /// Reads a required number. Returns the lowest allowed value on error.
   double Number(const char* path, const ExpectedNumber& expected);
-  /// A number that may be left out.
+  /// Reads an optional number.
   double NumberOr(const char* path, const ExpectedNumber& expected, double fallback);
-  /// A span of time that may be left out.
+  /// Reads an optional duration.
   Milliseconds SpanOr(const char* path, const ExpectedNumber& expected, Milliseconds fallback);
 
-  /// True or false; may be left out.
+  /// Reads an optional boolean.
   bool FlagOr(const char* path, bool fallback);
 
-  /// A text that is needed and that `parse` turns into a `Result<T>`; an empty T where it fails.
+  /// Reads a required string that `parse` converts to a `Result<T>`. Returns a default T on error.
   template <typename Parse>
   auto Parsed(const char* path, std::string_view expected, Parse parse)
   {
@@ -54,7 +54,7 @@
     NoteWrong(path, expected);
     return Value();
   }
-  /// All that is wrong, separated by semicolons; empty where nothing is.
+  /// All error messages, separated by semicolons; empty if there are none.
   const std::string& Problems() const { return m_problems; }
 
 private:
--- a/Source/Core/Common/Json.h
+++ b/Source/Core/Common/Json.h
@@ -16,13 +16,13 @@
 {
 using Json = nlohmann::json;
 
-/// Parses `text`; gives nothing where it is not JSON.
+/// Parses `text`. Returns nothing if it is not valid JSON.
 std::optional<Json> ParseJson(std::string_view text);
 
-/// Serialises `value`; invalid UTF-8 in strings is replaced, never thrown on.
+/// Serialises `value`. Invalid UTF-8 in strings is replaced instead of throwing an exception.
 std::string DumpJson(const Json& value);
 
-/// The member `key` of an object as `T`, or `fallback` where it is missing or of another type.
+/// Returns the member `key` of an object as `T`, or `fallback` if it is missing or of another type.
 template <typename T>
 T GetOr(const Json& object, const char* key, T fallback)
 {
@@ -39,9 +39,9 @@
     return found->is_number() ? found->template get<T>() : fallback;
 }
 
-/// The member `key` where it is a whole number that 64 bits hold; nothing otherwise.
+/// Returns the member `key` if it is an integer in the range of std::int64_t, otherwise nothing.
 std::optional<std::int64_t> WholeNumber(const Json& object, const char* key);
 
-/// The member `key` where it is an array, otherwise an empty array.
+/// Returns the member `key` if it is an array, otherwise an empty array.
 const Json& GetArray(const Json& object, const char* key);
 } // namespace Common
--- a/Source/Core/Common/Log.cpp
+++ b/Source/Core/Common/Log.cpp
@@ -19,15 +19,15 @@
 {
 namespace
 {
-/// Lines a second for one event: enough for each request of a busy entry VM, and a bound on what a
-/// storm of one kind costs.
+/// Maximum lines per second for one event: enough for every request of a busy entry VM, and a bound
+/// on the cost of a burst of one event.
 constexpr int INFO_LINES_PER_SECOND = 40;
 constexpr int WARNING_LINES_PER_SECOND = 100;
-/// Lines wait so long for others, so that one write carries several.
+/// Lines are buffered for this time, so that one write carries several.
 constexpr Milliseconds GATHER_TIME{25};
-/// A pipe that polls as writable takes this much without blocking (PIPE_BUF of Linux).
+/// A pipe that polls as writable accepts this much without blocking (PIPE_BUF on Linux).
 constexpr std::size_t WRITE_BYTES = 4096;
-/// Beyond it lines are dropped.
+/// Size limit of the buffer. Lines that exceed it are dropped.
 constexpr std::size_t MAX_WAITING_BYTES = 262144;
 
 struct EventRate
@@ -37,7 +37,7 @@
   int suppressed = 0;
 };
 
-/// The lines on their way to standard output.
+/// Buffer of the log lines for standard output.
 class Output
 {
 public:
@@ -104,7 +104,7 @@
   return s_output;
 }
 
-/// The thread of the main loop: the one that set up the log.
+/// The thread of the main loop, which is the one that initialised the log.
 std::thread::id& MainThread()
 {
   static std::thread::id s_thread = std::this_thread::get_id();
@@ -117,7 +117,7 @@
   return s_name;
 }
 
-/// Counts the event; true where the line may be written.
+/// Applies the rate limit of the event. Returns true if the line may be written.
 bool Admit(LogLevel level, std::string_view event, int& suppressed)
 {
   static std::map<std::string, EventRate, std::less<>> s_rates;
@@ -173,7 +173,7 @@
   return "error";
 }
 
-/// "2026-12-02T14:23:20.123Z"; the seconds' text is made once a second.
+/// Current time as "2026-12-02T14:23:20.123Z". The text up to the seconds is cached.
 std::string TimeText()
 {
   static gint64 s_second = -1;
@@ -210,7 +210,7 @@
   TheOutput().Add(line, level == LogLevel::Error);
 }
 
-/// GLib's messages, and those of libraries that use it.
+/// Logs the warnings and errors of GLib and of libraries that use its log.
 GLogWriterOutput WriteGlibMessage(GLogLevelFlags level, const GLogField* fields, gsize count,
                                   gpointer)
 {
@@ -220,7 +220,7 @@
   for (gsize i = 0; i < count; ++i)
     if (std::string_view(fields[i].key) == "MESSAGE")
       message = static_cast<const char*>(fields[i].value);
-  // Libraries log from threads of their own; our lines are written on the main loop only.
+  // Libraries may log from other threads, but log lines are only written on the main loop.
   const auto write = [message] {
     LogEvent(LogLevel::Warning, "library-message", {{"text", message}});
   };
--- a/Source/Core/Common/Log.h
+++ b/Source/Core/Common/Log.h
@@ -19,7 +19,7 @@
   Error,
 };
 
-/// One `key=value` of a log line.
+/// A `key=value` pair of a log line.
 struct LogField
 {
   template <typename T>
@@ -45,27 +45,28 @@
   std::string value;
 };
 
-/// What became of log lines; read by the metrics.
+/// Counts of log lines by outcome, for the metrics.
 struct LogCounters
 {
   std::int64_t written = 0;
-  std::int64_t suppressed = 0; ///< Over an event's budget.
-  std::int64_t dropped = 0;    ///< The reader of the output was too slow.
+  std::int64_t suppressed = 0; ///< Over the rate limit of the event.
+  std::int64_t dropped = 0;    ///< Discarded since the reader of the output was too slow.
 };
 
-/// Sends the log to standard output, one line an event: time (UTC), level, program, `event=NAME`,
-/// then `key=value` pairs. GLib's own messages take the same form. Writing never blocks: where the
-/// reader is slow, lines wait in a bounded buffer and are then dropped and counted.
+/// Directs the log to standard output, one line per event: time (UTC), level, program,
+/// `event=NAME`, then `key=value` pairs. GLib messages are logged in the same format. Writing never
+/// blocks: if the reader is slow, lines are kept in a bounded buffer; when it is full, further
+/// lines are dropped and counted.
 void InitLog(const char* program);
 
-/// Writes one line for one event. Each event has a budget of lines a second, larger for warnings
-/// and errors; what was left out is counted on the event's next line.
+/// Writes a log line. Each event has a limit of lines per second, which is higher for warnings and
+/// errors. The number of suppressed lines is reported on a later line of the event.
 void LogEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields);
 
-/// No more lines are written; for tests.
+/// Disables the output, for tests. Lines are still counted.
 void MuteLog();
 
-/// Writes what still waits; for the end of the process.
+/// Writes the buffered lines, at process exit.
 void FlushLog();
 
 const LogCounters& CountLogLines();
--- a/Source/Core/Common/Loop.h
+++ b/Source/Core/Common/Loop.h
@@ -17,18 +17,18 @@
 
 namespace Common
 {
-/// The time of the main loop: it never goes back, and counts suspensions of the VM.
+/// Current monotonic time, including the time during which the VM was suspended.
 TimePoint Now();
 
-/// Runs `callback` once from the main loop, soon; may be called from any thread.
+/// Schedules `callback` to run once on the main loop. May be called from any thread.
 void CallSoon(std::function<void()> callback);
 
 using CallId = std::uint64_t;
-/// Runs `callback` once from the main loop after `delay`. The returned id cancels it.
+/// Runs `callback` once on the main loop after `delay`. The returned id is for CancelCall().
 CallId CallAfter(Milliseconds delay, std::function<void()> callback);
 void CancelCall(CallId id);
 
-/// Awaitable pause of the calling coroutine.
+/// Awaitable that suspends the calling coroutine for `delay`.
 struct Sleep
 {
   Milliseconds delay;
@@ -43,8 +43,8 @@
   void await_resume() const noexcept {}
 };
 
-/// A value that one part of the program sets once and any number of coroutines await.
-/// Waiters resume from the main loop, never inside `Set`.
+/// A value that is set once and that any number of coroutines can await. Waiting coroutines resume
+/// from the main loop, never inside `Set`.
 template <typename T>
 class Completion
 {
@@ -53,7 +53,7 @@
 
   bool IsSet() const { return m_state->value.has_value(); }
 
-  /// The first value wins; later ones are ignored.
+  /// Sets the value. Ignored if it is already set.
   void Set(T value) const
   {
     if (IsSet())
@@ -63,7 +63,7 @@
       WakeFromLoop(waiter);
   }
 
-  /// Waits until the value is set or `deadline` has passed; then gives nothing.
+  /// Waits until the value is set. Returns nothing if `deadline` passes before.
   Task<std::optional<T>> WaitUntil(TimePoint deadline) const
   {
     const auto state = m_state;
--- a/Source/Core/Common/Mechanisms.cpp
+++ b/Source/Core/Common/Mechanisms.cpp
@@ -52,7 +52,7 @@
     const auto found = std::ranges::find(NAMES, entry, &Name::first);
     if (found == NAMES.end())
       return {FailureKind::InvalidInput,
-              "without: no \"" + std::string(entry) + "\"; known: " + AllNames()};
+              "without: unknown mechanism \"" + std::string(entry) + "\"; known: " + AllNames()};
     off.set(static_cast<std::size_t>(found->second));
   }
   s_off = off;
--- a/Source/Core/Common/Mechanisms.h
+++ b/Source/Core/Common/Mechanisms.h
@@ -8,28 +8,28 @@
 
 #include "Common/Failure.h"
 
-/// Mechanisms that can be switched off one by one, to measure what each is worth. All are on unless
-/// the setting `without` names them; operators have no other use for it.
+/// Mechanisms that can be disabled individually to measure the effect of each. All are enabled
+/// unless listed in the setting `without`, which has no other purpose for operators.
 namespace Common
 {
 enum class Mechanism : std::uint8_t
 {
-  Affinity,        ///< Requests that begin alike go to one replica.
-  RemoteLoad,      ///< Other daemons' requests count against a server's places.
-  SpareReplicas,   ///< A model that is asked for often keeps a second replica.
-  Turns,           ///< A model that waits long pushes out one in use.
-  DiskWait,        ///< A busy server with a disk copy is waited for.
-  Ejection,        ///< A server that fails gets no requests for a while.
-  SilenceDetector, ///< A server that owes answers and is silent gets no new requests.
-  BudgetSlack,     ///< Daemons share the free repeats.
-  Resumption,      ///< A broken stream is continued at another server.
-  RelayedTables,   ///< The holder passes on what it reads of the platform's store.
+  Affinity,        ///< Requests with the same prefix go to the same replica.
+  RemoteLoad,      ///< Requests of other daemons count against the capacity of a server.
+  SpareReplicas,   ///< A frequently requested model keeps a second replica.
+  Turns,           ///< A model that has waited for long may evict one in use.
+  DiskWait,        ///< Waits for a busy server that has the model on disk.
+  Ejection,        ///< A failing server temporarily gets no requests.
+  SilenceDetector, ///< A server with open requests that sends nothing gets no new ones.
+  BudgetSlack,     ///< Daemons share the unused retry budget.
+  Resumption,      ///< An interrupted stream is continued on another server.
+  RelayedTables,   ///< The holder forwards the tables that it reads from the platform's store.
   StrongFirst,     ///< Weak VMs leave a free lease to strong ones.
-  GatheredChanges, ///< Changes of a table are gathered between two calls to the store.
+  GatheredChanges, ///< Table changes between two calls to the store are batched.
 };
 
-/// Switches off the mechanisms of a list "affinity,turns,..."; the empty list switches on all.
-/// Fails with InvalidInput, naming the unknown entry and all known ones, and then changes nothing.
+/// Disables exactly the mechanisms in a list such as "affinity,turns"; an empty list enables all.
+/// On an unknown entry it changes nothing and fails with InvalidInput, listing the known names.
 Result<Done> SwitchOff(std::string_view list);
 bool IsOn(Mechanism mechanism);
 } // namespace Common
--- a/Source/Core/Common/Metrics.cpp
+++ b/Source/Core/Common/Metrics.cpp
@@ -9,7 +9,7 @@
 {
 namespace
 {
-/// Seconds; 0.69 is the aim for a first token at the size to design for.
+/// In seconds. 0.69 is the target for the time to first token at the design load.
 const prometheus::Histogram::BucketBoundaries LATENCY_BOUNDS{
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.69, 1, 2.5, 5, 10, 30, 60};
 
--- a/Source/Core/Common/Metrics.h
+++ b/Source/Core/Common/Metrics.h
@@ -16,24 +16,24 @@
 
 namespace Common
 {
-/// The figures of this daemon for Prometheus.
+/// The Prometheus metrics of this daemon.
 class Metrics
 {
 public:
   Metrics();
 
-  /// A caller's request has ended; `outcome` is "ok" or the type of the error.
+  /// Counts a completed request of a caller; `outcome` is "ok" or the type of the error.
   void CountRequest(const std::string& kind, const std::string& outcome);
-  /// A request went to a backend server; `result` is "ok", "declined", "not_sent", "broken" or
+  /// Counts a request to a backend server; `result` is "ok", "declined", "not_sent", "broken" or
   /// "crossed".
   void CountAttempt(const std::string& result);
   void ObserveFirstToken(Milliseconds time, bool cold);
-  /// From a request's arrival to its answer, or to the first event of a stream.
+  /// Records the time from the arrival of a request to its response or first stream event.
   void ObserveLatency(const std::string& route, Milliseconds time);
-  /// The longest pause between two events of a stream.
+  /// Records the longest pause between two events of a stream.
   void ObserveLongestPause(const std::string& route, Milliseconds pause);
   void SetGauge(const std::string& name, double value);
-  /// In the text format of Prometheus.
+  /// Returns all metrics in the text format of Prometheus.
   std::string Render() const;
 
 private:
--- a/Source/Core/Common/Mutex.h
+++ b/Source/Core/Common/Mutex.h
@@ -10,11 +10,12 @@
 
 namespace Common
 {
-/// Lets one coroutine at a time through a section that awaits. Waiters go in order of arrival.
+/// Mutual exclusion between coroutines for sections that await. Waiting coroutines acquire it in
+/// order of arrival.
 class Mutex
 {
 public:
-  /// Releases on destruction.
+  /// Unlocks the mutex on destruction.
   class Guard
   {
   public:
@@ -33,7 +34,7 @@
     Mutex* m_mutex;
   };
 
-  /// Awaitable; gives the guard.
+  /// Awaitable that returns a Guard.
   auto Lock()
   {
     struct Awaiter
--- a/Source/Core/Common/Random.h
+++ b/Source/Core/Common/Random.h
@@ -10,12 +10,12 @@
 
 namespace Common
 {
-/// The random generator of all decisions; they take it as a parameter.
+/// Random generator type. Decisions take the generator as a parameter.
 using Random = pcg64;
 
 /// The process-wide generator, seeded from the operating system.
 Random& SharedRandom();
 
-/// A new identifier of 128 random bits in hexadecimal, behind `prefix`.
+/// Returns `prefix` followed by 128 random bits in hexadecimal.
 std::string NewId(const char* prefix);
 } // namespace Common
--- a/Source/Core/Common/Reactor.cpp
+++ b/Source/Core/Common/Reactor.cpp
@@ -17,8 +17,8 @@
 namespace
 {
 constexpr int EVENTS_PER_TURN = 128;
-/// The kernel's waits do not count a suspension of the VM: a timer that became due meanwhile is
-/// seen at the latest after so long.
+/// Upper limit of a wait. The kernel's timeouts do not count the time during which the VM is
+/// suspended, so a timer that became due meanwhile may fire late by up to this time.
 constexpr Milliseconds LONGEST_WAIT{100};
 
 struct ReactorSource
@@ -125,8 +125,8 @@
 
 void Reactor::Dispatch()
 {
-  // A timer that becomes due while the descriptors are handled waits for the next turn: what it is
-  // to give up may have arrived meanwhile, and is read first there.
+  // A timer that becomes due while the descriptors are handled runs in the next iteration, after
+  // the descriptors: the data whose timeout it is may have arrived in the meantime.
   const TimePoint begin = Now();
   RunDescriptors();
   RunTimers(begin);
--- a/Source/Core/Common/Reactor.h
+++ b/Source/Core/Common/Reactor.h
@@ -12,19 +12,19 @@
 
 namespace Common
 {
-/// Receives the readiness of one descriptor.
+/// Receives the readiness events of a file descriptor.
 class DescriptorHandler
 {
 public:
   virtual ~DescriptorHandler() = default;
-  /// `events` are the bits of epoll(7).
+  /// `events` is a bit mask of epoll(7) events.
   virtual void OnDescriptorEvents(std::uint32_t events) = 0;
 };
 
-/// One source on the GLib main loop for all sockets and short timers of the data plane. GLib looks
-/// at each of its sources at every turn; with hundreds of sockets that is what a turn costs. Here
-/// the sockets stand in one epoll set and the timers in one ordered map, so a turn costs as much as
-/// there is to do.
+/// A single GLib source for all sockets and short timers of the data plane. GLib checks each of its
+/// sources in every iteration, which dominates the cost with hundreds of sockets. The reactor keeps
+/// the sockets in one epoll set and the timers in one ordered map, so that the cost of an iteration
+/// depends on the pending events only.
 class Reactor
 {
 public:
@@ -36,8 +36,8 @@
   Reactor(const Reactor&) = delete;
   Reactor& operator=(const Reactor&) = delete;
 
-  /// Watches `fd` until `Unwatch`. The id changes with every call, so an event that was already
-  /// collected never reaches the handler of a descriptor that was closed meanwhile.
+  /// Watches `fd` until `Unwatch`. Each call returns a new id, so that an event that was already
+  /// fetched from epoll cannot reach the handler of a descriptor that has been closed since.
   std::uint64_t Watch(int fd, std::uint32_t events, DescriptorHandler* handler);
   void Rearm(std::uint64_t watch, int fd, std::uint32_t events);
   void Unwatch(std::uint64_t watch, int fd);
@@ -49,7 +49,7 @@
   bool Prepare(int* timeout_ms) const;
   void Dispatch();
 
-  /// The longest time by which a timer fired late since the last call of this function.
+  /// Returns the largest delay of a timer past its due time since the last call.
   Milliseconds TakeWorstDelay();
 
 private:
@@ -72,7 +72,7 @@
   Milliseconds m_worst_delay{0};
 };
 
-/// A timer that is cancelled when its owner goes.
+/// A timer that is cancelled on destruction.
 class OwnedTimer
 {
 public:
--- a/Source/Core/Common/Task.h
+++ b/Source/Core/Common/Task.h
@@ -10,8 +10,8 @@
 
 namespace Common
 {
-/// A lazily started coroutine on the one main loop. It runs when awaited, and resumes its awaiter
-/// when it ends. No exception may leave it: failures travel as `Result`.
+/// A lazily started coroutine on the main loop. It starts when awaited and resumes its awaiter when
+/// it ends. An escaping exception terminates the process: failures are returned as `Result`.
 template <typename T>
 class Task;
 
@@ -119,7 +119,7 @@
 }
 } // namespace Detail
 
-/// Starts `task` now and lets it run to its end on the main loop; nobody waits for its value.
+/// Starts `task` immediately and runs it to completion on the main loop, discarding its result.
 template <typename T>
 void Spawn(Task<T> task)
 {
--- a/Source/Core/Common/Text.h
+++ b/Source/Core/Common/Text.h
@@ -7,7 +7,8 @@
 
 namespace Common
 {
-/// Blanks behind a header's value are no part of it (RFC 9110, 5.5); the parser keeps them.
+/// Removes trailing blanks. They are not part of a header value (RFC 9110, 5.5), but the parser
+/// keeps them.
 inline std::string_view WithoutTrailingBlanks(std::string_view text)
 {
   const auto last = text.find_last_not_of(" \t");
--- a/Source/Core/Common/Units.h
+++ b/Source/Core/Common/Units.h
@@ -15,8 +15,8 @@
 {
 using Milliseconds = std::chrono::milliseconds;
 
-/// Counts also the time in which the VM is suspended, which the steady clock leaves out: a lease, a
-/// proof or a deadline of before would be believed for as long again.
+/// Monotonic clock that includes the time during which the VM is suspended. std::steady_clock does
+/// not, and would extend the validity of a lease, a proof or a deadline by the suspension.
 struct BootClock
 {
   using duration = std::chrono::nanoseconds;
@@ -29,7 +29,7 @@
 };
 using TimePoint = BootClock::time_point;
 
-/// A text identifier that cannot be mixed up with one of another kind.
+/// A string identifier with a distinct type for each kind.
 template <typename Tag>
 class StrongId
 {
@@ -56,7 +56,7 @@
   std::string m_value;
 };
 
-/// A whole number with a unit; arithmetic stays inside the unit.
+/// An integer with a unit. Arithmetic is only possible within the same unit.
 template <typename Tag>
 class Quantity
 {
@@ -92,20 +92,21 @@
 /// A virtual machine of the platform: an entry VM or a backend server.
 using VmId = StrongId<struct VmIdTag>;
 using DataCentreId = StrongId<struct DataCentreIdTag>;
-/// What a backend server can load: a model version `model@version`, or an adapter of one.
+/// An artifact that a backend server can load: a model version `model@version`, or an adapter of
+/// one.
 using ArtifactId = StrongId<struct ArtifactIdTag>;
-/// One claim on a replica slot and on memory; unique for ever.
+/// A claim on a replica slot and on memory. Ids are never reused.
 using ClaimId = StrongId<struct ClaimIdTag>;
 using RequestId = StrongId<struct RequestIdTag>;
-/// One run of a process on a VM; a restart gives another.
+/// One start of a process on a VM; each restart creates a new one.
 using Incarnation = StrongId<struct IncarnationTag>;
-/// A calling service, as the operators' table names it.
+/// A calling service, as named in the operators' table.
 using ServiceId = StrongId<struct ServiceIdTag>;
 
 using MegaBytes = Quantity<struct MegaBytesTag>;
-/// The number that orders commands to one backend server; higher is newer.
+/// Fencing token that orders the commands to a backend server; higher is newer.
 using FencingNumber = Quantity<struct FencingNumberTag>;
-/// The revision of the operators' table; each accepted change adds one.
+/// Revision of the operators' table, incremented by each accepted change.
 using Revision = Quantity<struct RevisionTag>;
 } // namespace Common
 
--- a/Source/UnitTests/Common/SuspendedVmTest.cpp
+++ b/Source/UnitTests/Common/SuspendedVmTest.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// A VM may be suspended for seconds. The steady clock does not count that time, so that a lease, a
-// proof, a deadline or a timer of before is believed for as long again: a holder whose lease had
-// run out for the others went on ordering, and a request was handed on with time that its caller no
-// longer had.
+// A VM may be suspended for seconds. std::steady_clock does not count that time, so leases, proofs,
+// deadlines and timers from before the suspension stayed valid for too long: a holder whose lease
+// had expired for the other daemons continued to issue orders, and a request was forwarded with
+// more time left than its caller still granted.
 
 #include <optional>
 #include <string_view>
@@ -25,7 +25,7 @@
 
 constexpr Milliseconds SUSPENDED{5000};
 
-/// How an exchange ended.
+/// Records how an exchange failed.
 class Breakages : public Http::AnswerEvents
 {
 public:
@@ -44,7 +44,8 @@
   CPPUNIT_TEST(ARequestDoesNotGoOutWithTheTimeOfBefore);
   CPPUNIT_TEST_SUITE_END();
 
-  /// The connection is made while the VM is suspended, and known to be made before any timer runs.
+  /// The connection is established during the suspension, and its readiness event is handled before
+  /// any timer runs.
   void ARequestDoesNotGoOutWithTheTimeOfBefore()
   {
     UnitTests::TestServer server([](auto&, const auto&) {});
