--- a/Source/Core/Daemon/Application.h
+++ b/Source/Core/Daemon/Application.h
@@ -10,7 +10,7 @@
 
 namespace Daemon
 {
-/// One daemon: builds its parts, connects them, and stops them in order.
+/// The daemon process: creates and connects its components and shuts them down in order.
 class Application
 {
 public:
@@ -19,9 +19,9 @@
   Application(const Application&) = delete;
   Application& operator=(const Application&) = delete;
 
-  /// Opens the sockets and begins to serve. Fails where an address is taken or a file unreadable.
+  /// Opens the sockets and starts serving. Fails if an address is in use or a file is unreadable.
   Common::Result<Common::Done> Start();
-  /// Runs until a planned stop has ended; gives the exit status.
+  /// Runs the main loop until a graceful shutdown has finished. Returns the exit status.
   int Run();
 
 private:
--- a/Source/Core/Daemon/Settings.cpp
+++ b/Source/Core/Daemon/Settings.cpp
@@ -24,7 +24,7 @@
 struct Definition
 {
   const char* name;
-  const char* default_value; ///< nullptr: must be set.
+  const char* default_value; ///< nullptr if the setting is required.
   const char* help;
 };
 
@@ -35,27 +35,27 @@
     {"operators", nullptr, "IP:port for operators, probes and metrics"},
     {"peers-listen", nullptr, "IP:port for the other daemons (UDP and TCP)"},
     {"platform", nullptr, "URL of the platform's services"},
-    {"seeds", "", "other daemons known beforehand: VM=IP:port,..."},
-    {"peer-key-file", "", "file with the key that all daemons share (or DRUMPOND_PEER_KEY)"},
+    {"seeds", "", "initially known daemons: VM=IP:port,..."},
+    {"peer-key-file", "", "file with the key shared by all daemons (or DRUMPOND_PEER_KEY)"},
     {"operator-tokens-file", "", "file with lines ROLE:TOKEN; ROLE is viewer or editor"},
     {"heartbeat-ms", "250", "interval of heartbeats"},
-    {"dead-after-ms", "1500", "silence after which a daemon has no roles"},
-    {"list-lag-ms", "30000", "the longest time by which the platform's list is late"},
-    {"table-poll-ms", "1000", "interval of looking for a new table revision"},
+    {"dead-after-ms", "1500", "time without heartbeats after which a daemon loses its roles"},
+    {"list-lag-ms", "30000", "maximum delay of the platform's VM list"},
+    {"table-poll-ms", "1000", "interval of polling for a new table revision"},
     {"report-ms", "300", "interval of the engines' reports"},
-    {"order-settle-ms", "20000", "quarantine of an order of unknown outcome"},
+    {"order-settle-ms", "20000", "quarantine time of an order of unknown outcome"},
     {"freeze-limit-ms", "1000", "pause after which a claim is validated again"},
-    {"job-scan-ms", "2000", "interval of looking for jobs that nobody runs"},
-    {"stop-notice-ms", "500", "time for the balancer to see that this daemon stops"},
-    {"stop-limit-ms", "30000", "longest time for requests to finish on a stop"},
-    {"max-body-kb", "4096", "largest request body"},
+    {"job-scan-ms", "2000", "interval of scanning for jobs that no daemon runs"},
+    {"stop-notice-ms", "500", "time for the load balancer to detect that this daemon is stopping"},
+    {"stop-limit-ms", "30000", "maximum time for requests to finish during a shutdown"},
+    {"max-body-kb", "4096", "maximum request body size in KiB"},
     {"placement", "cache-aware", "placement policy: cache-aware or first-fit"},
     {"retention", "cost", "retention policy: cost or keep-alive"},
     {"keep-alive-ms", "60000", "for keep-alive: time until an idle model is unloaded"},
     {"routing", "affinity", "routing policy: affinity or round-robin"},
     {"queue", "fair", "queue policy: fair or fifo"},
     {"load-order", "urgency", "order of loads: urgency or fifo"},
-    {"without", "", "mechanisms to switch off, to measure what they are worth: NAME,..."},
+    {"without", "", "mechanisms to disable, to measure their effect: NAME,..."},
 }};
 
 std::string EnvironmentName(const std::string& name)
@@ -66,7 +66,7 @@
   return variable;
 }
 
-/// Reads values one by one and collects what is wrong.
+/// Reads and validates individual settings and collects the errors.
 class Reader
 {
 public:
@@ -144,7 +144,7 @@
       Fail(name, switched.Reason().detail);
   }
 
-  /// From the variable DRUMPOND_PEER_KEY or from the file.
+  /// Reads the key from the file if one is set, otherwise from DRUMPOND_PEER_KEY.
   std::string PeerKey()
   {
     const std::string path = Text("peer-key-file");
@@ -198,7 +198,7 @@
       help += std::string(" [") + definition.default_value + "]";
     options.add_options()(definition.name, help, cxxopts::value<std::string>());
   }
-  options.add_options()("print-settings", "print the settings in force and exit")(
+  options.add_options()("print-settings", "print the effective settings and exit")(
       "help", "print this text and exit")("version", "print the version and exit");
   return options;
 }
--- a/Source/Core/Daemon/Settings.h
+++ b/Source/Core/Daemon/Settings.h
@@ -19,14 +19,14 @@
   int port = 0;
 };
 
-/// Everything that is set for one daemon, checked.
+/// The validated settings of a daemon.
 struct Settings
 {
   Common::VmId vm;
   Common::DataCentreId data_centre;
-  Endpoint listen;    ///< For callers.
-  Endpoint operators; ///< For operators, probes and metrics.
-  Endpoint peers;     ///< For the other daemons, UDP and TCP.
+  Endpoint listen;    ///< Address for callers.
+  Endpoint operators; ///< Address for operators, probes and metrics.
+  Endpoint peers;     ///< Address for the other daemons, UDP and TCP.
   std::string platform;
   std::vector<std::pair<Common::VmId, std::string>> seeds;
   std::string peer_key;
@@ -50,19 +50,21 @@
   std::string load_order = "urgency";
 };
 
-/// The outcome of reading flags and environment.
+/// Result of parsing the flags and environment variables.
 struct ParsedSettings
 {
   Settings settings;
-  std::vector<std::string> errors; ///< All that is wrong, in words for the operator.
-  std::vector<std::pair<std::string, std::string>> effective; ///< Secrets are blanked.
+  std::vector<std::string> errors; ///< All errors found, as messages for the operator.
+  std::vector<std::pair<std::string, std::string>>
+      effective; ///< Flags and values in force; contains no secrets.
   bool help = false;
   bool version = false;
   bool print = false;
   std::string help_text;
 };
 
-/// Reads flags, and for each that is missing the environment variable DRUMPOND_<NAME>. Secrets
-/// come from the environment or from a file, never from a flag's value.
+/// Parses the flags. A flag that is not given is read from the environment variable
+/// DRUMPOND_<NAME>. Secrets come from the environment or from a file, never from the value of a
+/// flag.
 ParsedSettings ReadSettings(int argc, char** argv);
 } // namespace Daemon
