--- a/Source/Core/Callers/Jobs.cpp
+++ b/Source/Core/Callers/Jobs.cpp
@@ -296,7 +296,7 @@
   Common::TimePoint since;
   const auto status = membership.StatusOf(job->holder, job->holder_incarnation, Now(), &since);
   const auto* peer = membership.Find(job->holder);
-  const bool leaving = peer && peer->last.leaving;
+  const bool leaving = peer && peer->last_heartbeat.leaving;
   const bool own = job->holder == membership.Self().vm;
   if (status == HolderStatus::Alive && !leaving && !own)
     co_return;
--- a/Source/Core/Daemon/Application.cpp
+++ b/Source/Core/Daemon/Application.cpp
@@ -214,7 +214,7 @@
   {
     const std::int64_t version = keeper.Statuses().state_version;
     if (std::exchange(membership.Self().state_version, version) != version)
-      link.Announce();
+      link.ScheduleHeartbeats();
   }
 
   void OnHeartbeat(const Daemons::Heartbeat& heartbeat)
@@ -229,7 +229,7 @@
   Task<void> PullStatuses(Common::VmId vm, Common::Incarnation incarnation)
   {
     const Daemons::Call call{Daemons::StatusPull{}};
-    const auto answer = co_await link.Ask(vm, call, STATUS_PULL_TIMEOUT);
+    const auto answer = co_await link.SendCall(vm, call, STATUS_PULL_TIMEOUT);
     pulling.erase(vm);
     const auto* reply = answer ? std::get_if<Daemons::StatusReply>(&*answer) : nullptr;
     if (!reply)
@@ -350,7 +350,7 @@
     LogEvent(LogLevel::Info, "daemon.stopping", {{"open", callers_server.OpenExchanges()}});
     const auto began = Now();
     membership.Self().leaving = true;
-    link.Announce();
+    link.ScheduleHeartbeats();
     co_await Common::Sleep{settings.stop_notice};
     callers_server.StopListening();
     while ((callers_server.OpenExchanges() > 0 || jobs.Running() > 0) &&
--- a/Source/Core/Daemons/Codec.h
+++ b/Source/Core/Daemons/Codec.h
@@ -64,7 +64,7 @@
     m_in.remove_prefix(size);
   }
 
-  std::size_t Left() const { return m_in.size(); }
+  std::size_t Remaining() const { return m_in.size(); }
 
 private:
   std::string_view m_in;
@@ -77,14 +77,14 @@
 
 /// Value bits per varint byte. The top bit is set if another byte follows.
 constexpr unsigned VARINT_BITS = 7;
-constexpr std::uint8_t VARINT_MORE = 0x80;
+constexpr std::uint8_t VARINT_CONTINUATION_BIT = 0x80;
 constexpr unsigned MAX_VARINT_SHIFT = 63;
 
 inline void SaveVarint(StringOutputArchive& archive, std::uint64_t value)
 {
-  while (value >= VARINT_MORE)
+  while (value >= VARINT_CONTINUATION_BIT)
   {
-    const auto byte = static_cast<std::uint8_t>(value | VARINT_MORE);
+    const auto byte = static_cast<std::uint8_t>(value | VARINT_CONTINUATION_BIT);
     archive.saveBinary(&byte, 1);
     value >>= VARINT_BITS;
   }
@@ -99,8 +99,8 @@
   {
     std::uint8_t byte = 0;
     archive.loadBinary(&byte, 1);
-    value |= static_cast<std::uint64_t>(byte & (VARINT_MORE - 1)) << shift;
-    if (byte < VARINT_MORE)
+    value |= static_cast<std::uint64_t>(byte & (VARINT_CONTINUATION_BIT - 1)) << shift;
+    if (byte < VARINT_CONTINUATION_BIT)
       return value;
   }
   throw cereal::Exception("a varint is longer than 10 bytes");
@@ -172,7 +172,7 @@
 {
   std::uint64_t size = 0;
   archive(size);
-  if (size > archive.Left())
+  if (size > archive.Remaining())
     throw cereal::Exception("a length exceeds the rest of the message");
   tag.size = static_cast<cereal::size_type>(size);
 }
@@ -207,7 +207,7 @@
     T message;
     StringInputArchive archive(bytes);
     archive(message);
-    if (archive.Left() != 0)
+    if (archive.Remaining() != 0)
       return {Common::FailureKind::Protocol, "unexpected bytes after the message"};
     return message;
   }
--- a/Source/Core/Daemons/Link.cpp
+++ b/Source/Core/Daemons/Link.cpp
@@ -8,8 +8,8 @@
 #include <gio/gio.h>
 
 #include "Daemons/Codec.h"
+#include "Daemons/MessageAuthentication.h"
 #include "Daemons/PeerConnection.h"
-#include "Daemons/Seal.h"
 #include "Http/GioAwait.h"
 
 namespace Daemons
@@ -78,7 +78,7 @@
   std::map<VmId, Outbound> outbound;
   std::map<VmId, std::shared_ptr<Completion<bool>>> connecting;
   std::int64_t next_call = 1;
-  bool announced = false;
+  bool heartbeats_scheduled = false;
 
   Result<Done> OpenUdp()
   {
@@ -142,13 +142,13 @@
       if (size < 0)
         return;
       counters.bytes_received += size;
-      TakeDatagram(std::string_view(buffer.data(), static_cast<std::size_t>(size)));
+      HandleDatagram(std::string_view(buffer.data(), static_cast<std::size_t>(size)));
     }
   }
 
-  void TakeDatagram(std::string_view datagram)
+  void HandleDatagram(std::string_view datagram)
   {
-    const auto payload = OpenDatagram(settings.key, datagram);
+    const auto payload = VerifyDatagram(settings.key, datagram);
     if (!payload)
     {
       ++counters.rejected;
@@ -169,8 +169,9 @@
   /// treated as local until then.
   Scope ScopeOf(const Membership::Peer& peer) const
   {
-    const bool far = peer.heard && peer.last.data_centre != membership.Self().data_centre;
-    return far ? Scope::Remote : Scope::Local;
+    const bool is_remote =
+        peer.has_heartbeat && peer.last_heartbeat.data_centre != membership.Self().data_centre;
+    return is_remote ? Scope::Remote : Scope::Local;
   }
 
   Milliseconds Interval(Scope scope) const
@@ -189,7 +190,7 @@
   {
     ++membership.Self().sequence;
     membership.Self().interval_ms = Interval(scope).count();
-    const std::string datagram = SealDatagram(settings.key, Encode(membership.Self()));
+    const std::string datagram = SignDatagram(settings.key, Encode(membership.Self()));
     for (const auto& [vm, peer] : membership.Peers())
     {
       if (peer.retired || peer.address.empty() || ScopeOf(peer) != scope)
@@ -207,7 +208,7 @@
   /// A frozen or partitioned peer does not close its connections. Closes them here once its
   /// heartbeats stop, so that pending calls fail and can go to the daemon that takes over its
   /// roles.
-  void GiveUpSilentPeers()
+  void CloseConnectionsToDeadPeers()
   {
     const auto now = Common::Now();
     for (auto& [vm, out] : outbound)
@@ -217,7 +218,7 @@
 
   void Tick(Scope scope)
   {
-    GiveUpSilentPeers();
+    CloseConnectionsToDeadPeers();
     SendHeartbeats(scope);
     Common::CallAfter(Interval(scope), [this, scope] {
       Tick(scope);
@@ -296,7 +297,7 @@
       co_return false;
     const GRef<GSocketClient> client(g_socket_client_new());
     const GRef<GCancellable> cancellable(g_cancellable_new());
-    const Common::CallId guard = Common::CallAfter(CONNECT_TIMEOUT, [cancellable] {
+    const Common::CallId connect_timer = Common::CallAfter(CONNECT_TIMEOUT, [cancellable] {
       g_cancellable_cancel(cancellable.Get());
     });
     Http::GioAwait await;
@@ -304,19 +305,19 @@
                                   cancellable.Get(), Http::GioAwait::Ready, &await);
     co_await await;
     if (!g_cancellable_is_cancelled(cancellable.Get()))
-      Common::CancelCall(guard);
+      Common::CancelCall(connect_timer);
     GRef<GSocketConnection> raw(g_socket_client_connect_finish(client.Get(), await.Get(), nullptr));
     if (!raw)
       co_return false;
     auto connection = std::make_shared<PeerConnection>(std::move(raw), settings.key,
                                                        PeerConnection::Side::Connecting);
-    const Common::CallId patience = Common::CallAfter(CONNECT_TIMEOUT, [connection] {
+    const Common::CallId handshake_timer = Common::CallAfter(CONNECT_TIMEOUT, [connection] {
       connection->Close();
     });
     const bool ready = co_await connection->Handshake();
     if (!connection->IsOpen())
       co_return false;
-    Common::CancelCall(patience);
+    Common::CancelCall(handshake_timer);
     if (!ready)
       co_return false;
     outbound[vm].connection = connection;
@@ -354,7 +355,7 @@
                              "the connection to the peer was closed before its reply"});
   }
 
-  Task<Result<Reply>> Ask(VmId vm, Call call, Milliseconds timeout)
+  Task<Result<Reply>> SendCall(VmId vm, Call call, Milliseconds timeout)
   {
     if (vm == membership.Self().vm)
     {
@@ -417,17 +418,17 @@
   return Done{};
 }
 
-Task<Result<Reply>> Link::Ask(VmId vm, Call call, Milliseconds timeout)
+Task<Result<Reply>> Link::SendCall(VmId vm, Call call, Milliseconds timeout)
 {
-  return m_impl->Ask(std::move(vm), std::move(call), timeout);
+  return m_impl->SendCall(std::move(vm), std::move(call), timeout);
 }
 
-void Link::Announce()
+void Link::ScheduleHeartbeats()
 {
-  if (std::exchange(m_impl->announced, true))
+  if (std::exchange(m_impl->heartbeats_scheduled, true))
     return;
   Common::CallAfter(Milliseconds(1), [impl = m_impl.get()] {
-    impl->announced = false;
+    impl->heartbeats_scheduled = false;
     impl->SendHeartbeats(Scope::Local);
     impl->SendHeartbeats(Scope::Remote);
   });
--- a/Source/Core/Daemons/Link.h
+++ b/Source/Core/Daemons/Link.h
@@ -58,10 +58,11 @@
 
   /// Calls another daemon, or this one without using the network. Fails with NotSent if there was
   /// no connection, and with Timeout or OutcomeUnknown if the peer may have received the call.
-  Common::Task<Common::Result<Reply>> Ask(Common::VmId vm, Call call, Common::Milliseconds timeout);
+  Common::Task<Common::Result<Reply>> SendCall(Common::VmId vm, Call call,
+                                               Common::Milliseconds timeout);
 
   /// Sends heartbeats without waiting for the next interval, after a change of the local state.
-  void Announce();
+  void ScheduleHeartbeats();
 
   const LinkCounters& Counters() const;
 
--- a/Source/Core/Daemons/Membership.cpp
+++ b/Source/Core/Daemons/Membership.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 /// Number of missed heartbeats, by the interval that the peer announced, after which it is dead.
-constexpr std::int64_t MISSED_HEARTBEATS = 4;
+constexpr std::int64_t MAX_MISSED_HEARTBEATS = 4;
 } // namespace
 
 using Common::TimePoint;
@@ -24,8 +24,8 @@
 
 void Membership::SetListed(const std::vector<Platform::VmEntry>& entries, TimePoint now)
 {
-  if (!m_list_since)
-    m_list_since = now;
+  if (!m_first_list_at)
+    m_first_list_at = now;
   std::set<VmId> listed;
   for (const Platform::VmEntry& entry : entries)
   {
@@ -64,12 +64,12 @@
   if (found == m_peers.end())
     return false;
   Peer& peer = found->second;
-  if (peer.heard)
+  if (peer.has_heartbeat)
   {
-    const bool same = peer.last.incarnation == heartbeat.incarnation;
-    if (same && heartbeat.sequence <= peer.last.sequence)
+    const bool same = peer.last_heartbeat.incarnation == heartbeat.incarnation;
+    if (same && heartbeat.sequence <= peer.last_heartbeat.sequence)
       return false;
-    if (!same && heartbeat.started_ms <= peer.last.started_ms)
+    if (!same && heartbeat.started_ms <= peer.last_heartbeat.started_ms)
       return false;
     if (!same)
       peer.changed_at = now;
@@ -78,9 +78,9 @@
   {
     peer.changed_at = now;
   }
-  peer.last = heartbeat;
-  peer.heard = true;
-  peer.heard_at = now;
+  peer.last_heartbeat = heartbeat;
+  peer.has_heartbeat = true;
+  peer.last_heartbeat_at = now;
   peer.retired = false;
   return true;
 }
@@ -96,10 +96,11 @@
   if (vm == m_self.vm)
     return true;
   const Peer* peer = Find(vm);
-  if (!peer || !peer->heard)
+  if (!peer || !peer->has_heartbeat)
     return false;
-  const Common::Milliseconds promised(peer->last.interval_ms * MISSED_HEARTBEATS);
-  return now - peer->heard_at < std::max(m_settings.dead_after, promised);
+  const Common::Milliseconds announced_timeout(peer->last_heartbeat.interval_ms *
+                                               MAX_MISSED_HEARTBEATS);
+  return now - peer->last_heartbeat_at < std::max(m_settings.dead_after, announced_timeout);
 }
 
 std::vector<VmId> Membership::LiveIn(const Common::DataCentreId& data_centre, TimePoint now) const
@@ -108,7 +109,8 @@
   if (data_centre == m_self.data_centre && !m_self.leaving)
     live.push_back(m_self.vm);
   for (const auto& [vm, peer] : m_peers)
-    if (IsAlive(vm, now) && !peer.last.leaving && peer.last.data_centre == data_centre)
+    if (IsAlive(vm, now) && !peer.last_heartbeat.leaving &&
+        peer.last_heartbeat.data_centre == data_centre)
       live.push_back(vm);
   return live;
 }
@@ -119,7 +121,7 @@
   if (!m_self.leaving)
     live.push_back(m_self.vm);
   for (const auto& [vm, peer] : m_peers)
-    if (IsAlive(vm, now) && !peer.last.leaving)
+    if (IsAlive(vm, now) && !peer.last_heartbeat.leaving)
       live.push_back(vm);
   return live;
 }
@@ -137,14 +139,14 @@
   if (!peer)
   {
     // Unknown VM: it left the list before this daemon started, or is too new to be listed.
-    *since = m_list_since.value_or(now) + m_settings.list_lag;
-    return m_list_since && now >= *since ? HolderStatus::Gone : HolderStatus::Silent;
+    *since = m_first_list_at.value_or(now) + m_settings.list_lag;
+    return m_first_list_at && now >= *since ? HolderStatus::Gone : HolderStatus::Unresponsive;
   }
   *since = peer->changed_at;
-  if (peer->heard && peer->last.incarnation != incarnation)
+  if (peer->has_heartbeat && peer->last_heartbeat.incarnation != incarnation)
     return HolderStatus::Gone;
   if (peer->retired && !IsAlive(vm, now))
     return HolderStatus::Gone;
-  return IsAlive(vm, now) ? HolderStatus::Alive : HolderStatus::Silent;
+  return IsAlive(vm, now) ? HolderStatus::Alive : HolderStatus::Unresponsive;
 }
 } // namespace Daemons
--- a/Source/Core/Daemons/Membership.h
+++ b/Source/Core/Daemons/Membership.h
@@ -18,9 +18,9 @@
 /// Liveness of the daemon incarnation that made a claim.
 enum class HolderStatus
 {
-  Alive,  ///< Sent a recent heartbeat in this incarnation.
-  Silent, ///< No recent heartbeat; it may be frozen or partitioned and act later.
-  Gone,   ///< Its VM left the platform's list or runs another incarnation: it cannot act again.
+  Alive,        ///< Sent a recent heartbeat in this incarnation.
+  Unresponsive, ///< No recent heartbeat; it may be frozen or partitioned and act later.
+  Gone, ///< Its VM left the platform's list or runs another incarnation: it cannot act again.
 };
 
 struct MembershipSettings
@@ -43,9 +43,9 @@
     std::string address;
     bool listed = false;  ///< In the platform's list or a seed from the settings.
     bool retired = false; ///< No longer in the platform's list, and no heartbeats.
-    Heartbeat last;
-    bool heard = false;
-    Common::TimePoint heard_at;
+    Heartbeat last_heartbeat;
+    bool has_heartbeat = false;
+    Common::TimePoint last_heartbeat_at;
     Common::TimePoint
         changed_at; ///< When it was retired or its current incarnation was first seen.
   };
@@ -77,6 +77,6 @@
   Heartbeat m_self;
   MembershipSettings m_settings;
   std::map<Common::VmId, Peer> m_peers;
-  std::optional<Common::TimePoint> m_list_since; ///< When the first list was received.
+  std::optional<Common::TimePoint> m_first_list_at; ///< When the first list was received.
 };
 } // namespace Daemons
--- a/Source/Core/Daemons/Seal.cpp
+++ b/Source/Core/Daemons/MessageAuthentication.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Daemons/Seal.h"
+#include "Daemons/MessageAuthentication.h"
 
 #include <array>
 
@@ -17,7 +17,7 @@
 constexpr std::string_view DATAGRAM_CONTEXT = "drumpond-datagram";
 } // namespace
 
-std::string ComputeSeal(std::string_view key, std::string_view context, std::string_view payload)
+std::string ComputeMac(std::string_view key, std::string_view context, std::string_view payload)
 {
   GHmac* hmac =
       g_hmac_new(G_CHECKSUM_SHA256, reinterpret_cast<const guchar*>(key.data()), key.size());
@@ -31,35 +31,35 @@
   gsize size = digest.size();
   g_hmac_get_digest(hmac, digest.data(), &size);
   g_hmac_unref(hmac);
-  return std::string(reinterpret_cast<const char*>(digest.data()), SEAL_BYTES);
+  return std::string(reinterpret_cast<const char*>(digest.data()), MAC_BYTES);
 }
 
-bool SealMatches(std::string_view seal, std::string_view expected)
+bool MacMatches(std::string_view mac, std::string_view expected)
 {
-  if (seal.size() != expected.size())
+  if (mac.size() != expected.size())
     return false;
   unsigned difference = 0;
-  for (std::size_t index = 0; index < seal.size(); ++index)
+  for (std::size_t index = 0; index < mac.size(); ++index)
     difference |=
-        static_cast<unsigned char>(seal[index]) ^ static_cast<unsigned char>(expected[index]);
+        static_cast<unsigned char>(mac[index]) ^ static_cast<unsigned char>(expected[index]);
   return difference == 0;
 }
 
-std::string SealDatagram(std::string_view key, std::string_view payload)
+std::string SignDatagram(std::string_view key, std::string_view payload)
 {
   std::string datagram(1, static_cast<char>(PROTOCOL_VERSION));
-  datagram += ComputeSeal(key, DATAGRAM_CONTEXT, payload);
+  datagram += ComputeMac(key, DATAGRAM_CONTEXT, payload);
   datagram += payload;
   return datagram;
 }
 
-std::optional<std::string_view> OpenDatagram(std::string_view key, std::string_view datagram)
+std::optional<std::string_view> VerifyDatagram(std::string_view key, std::string_view datagram)
 {
-  if (datagram.size() < 1 + SEAL_BYTES || datagram.front() != static_cast<char>(PROTOCOL_VERSION))
+  if (datagram.size() < 1 + MAC_BYTES || datagram.front() != static_cast<char>(PROTOCOL_VERSION))
     return std::nullopt;
-  const std::string_view seal = datagram.substr(1, SEAL_BYTES);
-  const std::string_view payload = datagram.substr(1 + SEAL_BYTES);
-  if (!SealMatches(seal, ComputeSeal(key, DATAGRAM_CONTEXT, payload)))
+  const std::string_view mac = datagram.substr(1, MAC_BYTES);
+  const std::string_view payload = datagram.substr(1 + MAC_BYTES);
+  if (!MacMatches(mac, ComputeMac(key, DATAGRAM_CONTEXT, payload)))
     return std::nullopt;
   return payload;
 }
--- a/Source/Core/Daemons/Messages.h
+++ b/Source/Core/Daemons/Messages.h
@@ -100,12 +100,12 @@
   Common::RequestId request;
   std::int64_t patience_ms = 0; ///< Time until the earliest deadline of the waiting requests.
   std::int64_t waiting = 0;
-  bool more = false; ///< Requests another replica: all loaded ones are at capacity.
+  bool additional_replica = false; ///< Requests another replica: all loaded ones are at capacity.
 
   template <typename Archive>
   void serialize(Archive& archive)
   {
-    archive(artifact, request, patience_ms, waiting, more);
+    archive(artifact, request, patience_ms, waiting, additional_replica);
   }
 };
 
@@ -177,19 +177,19 @@
   }
 };
 
-/// Requests the changes of the table after revision `have`.
+/// Requests the changes of the table after revision `known_revision`.
 struct TablePull
 {
-  Common::Revision have;
+  Common::Revision known_revision;
 
   template <typename Archive>
   void serialize(Archive& archive)
   {
-    archive(have);
+    archive(known_revision);
   }
 };
 
-/// The changes after `have` if the peer still has them, otherwise the whole table.
+/// The changes after `known_revision` if the peer still has them, otherwise the whole table.
 struct TableReply
 {
   Common::Revision revision;
--- a/Source/Core/Daemons/PeerConnection.cpp
+++ b/Source/Core/Daemons/PeerConnection.cpp
@@ -9,7 +9,7 @@
 #include <netinet/tcp.h>
 
 #include "Common/Random.h"
-#include "Daemons/Seal.h"
+#include "Daemons/MessageAuthentication.h"
 
 namespace Daemons
 {
@@ -88,7 +88,7 @@
     return;
   const auto length = static_cast<std::uint32_t>(payload.size());
   m_outgoing.append(reinterpret_cast<const char*>(&length), sizeof(length));
-  m_outgoing += ComputeSeal(m_key, Context(true, m_sent++), payload);
+  m_outgoing += ComputeMac(m_key, Context(true, m_sent++), payload);
   m_outgoing += payload;
   if (!m_writing)
     Common::Spawn(WriteQueued());
@@ -116,7 +116,7 @@
 {
   const auto self = shared_from_this();
   std::string head;
-  const bool have_head = co_await ReadExactly(head, LENGTH_BYTES + SEAL_BYTES);
+  const bool have_head = co_await ReadExactly(head, LENGTH_BYTES + MAC_BYTES);
   if (!have_head)
     co_return Failure{FailureKind::OutcomeUnknown, "the connection was closed"};
   std::uint32_t length = 0;
@@ -127,8 +127,8 @@
   const bool have_payload = co_await ReadExactly(payload, length);
   if (!have_payload)
     co_return Failure{FailureKind::OutcomeUnknown, "the connection was closed within a frame"};
-  const std::string expected = ComputeSeal(m_key, Context(false, m_received++), payload);
-  if (!SealMatches(std::string_view(head).substr(LENGTH_BYTES), expected))
+  const std::string expected = ComputeMac(m_key, Context(false, m_received++), payload);
+  if (!MacMatches(std::string_view(head).substr(LENGTH_BYTES), expected))
     co_return Failure{FailureKind::Protocol, "a frame failed authentication"};
   co_return payload;
 }
--- a/Source/Core/Operators/OperatorsApi.cpp
+++ b/Source/Core/Operators/OperatorsApi.cpp
@@ -245,12 +245,12 @@
                      {"table_revision", self.table_revision.Get()}});
   for (const auto& [vm, peer] : membership.Peers())
     daemons.push_back({{"vm", vm.Get()},
-                       {"data_centre", peer.last.data_centre.Get()},
-                       {"incarnation", peer.last.incarnation.Get()},
+                       {"data_centre", peer.last_heartbeat.data_centre.Get()},
+                       {"incarnation", peer.last_heartbeat.incarnation.Get()},
                        {"alive", membership.IsAlive(vm, Now())},
-                       {"leaving", peer.last.leaving},
+                       {"leaving", peer.last_heartbeat.leaving},
                        {"retired", peer.retired},
-                       {"table_revision", peer.last.table_revision.Get()}});
+                       {"table_revision", peer.last_heartbeat.table_revision.Get()}});
   return daemons;
 }
 
--- a/Source/Core/Serving/ModelHome.cpp
+++ b/Source/Core/Serving/ModelHome.cpp
@@ -101,7 +101,7 @@
   const auto serving = std::ranges::find_if(loaded, [&](const VmId& vm) {
     return IsServing(m_environment, vm, artifact.id);
   });
-  if (serving != loaded.end() && !request.more)
+  if (serving != loaded.end() && !request.additional_replica)
     co_return ServedBy(*serving);
   const auto ordered = m_environment.board.With(artifact.id, ReplicaState::Ordered);
   const bool full = static_cast<std::int64_t>(loaded.size() + ordered.size()) >= artifact.replicas;
@@ -252,7 +252,7 @@
       co_await Common::Sleep{RETRY_PAUSE};
       continue;
     }
-    const auto answer = co_await m_environment.link.Ask(*keeper, Daemons::Call(order), left);
+    const auto answer = co_await m_environment.link.SendCall(*keeper, Daemons::Call(order), left);
     const auto* reply = answer ? std::get_if<PlaceReply>(&*answer) : nullptr;
     if (!reply)
     {
--- a/Source/Core/Serving/Router.cpp
+++ b/Source/Core/Serving/Router.cpp
@@ -231,21 +231,21 @@
     request.request = queue.waiters.begin()->second.request.request;
     request.patience_ms = Patience(queue).count();
     request.waiting = static_cast<std::int64_t>(queue.waiters.size());
-    request.more = !Candidates(queue, queue.waiters.begin()->second.request).empty();
+    request.additional_replica = !Candidates(queue, queue.waiters.begin()->second.request).empty();
     if (!home || request.patience_ms <= 0)
     {
       co_await Common::Sleep{HOME_RETRY};
       continue;
     }
-    const auto answer = co_await m_environment.link.Ask(*home, Daemons::Call(request),
-                                                        Milliseconds(request.patience_ms));
+    const auto answer = co_await m_environment.link.SendCall(*home, Daemons::Call(request),
+                                                             Milliseconds(request.patience_ms));
     const auto* reply = answer ? std::get_if<LoadReply>(&*answer) : nullptr;
     const bool final = reply && reply->failure != FailureKind::None &&
-                       reply->failure != FailureKind::Conflict && !request.more;
+                       reply->failure != FailureKind::Conflict && !request.additional_replica;
     if (final)
       RefuseAll(queue,
                 {Failure{reply->failure, reply->detail}, Milliseconds(reply->retry_after_ms)});
-    else if (reply && reply->failure == FailureKind::None && !request.more)
+    else if (reply && reply->failure == FailureKind::None && !request.additional_replica)
       m_environment.board.HintLoaded(reply->server, id, Now());
     const std::size_t before = queue.waiters.size();
     Dispatch(queue);
--- a/Source/Core/Serving/ServerBoard.cpp
+++ b/Source/Core/Serving/ServerBoard.cpp
@@ -51,8 +51,8 @@
 
 void ServerBoard::SetListed(const std::vector<Platform::VmEntry>& entries, TimePoint now)
 {
-  if (!m_list_since)
-    m_list_since = now;
+  if (!m_first_list_at)
+    m_first_list_at = now;
   m_leaving.clear();
   m_listed.clear();
   for (const Platform::VmEntry& entry : entries)
@@ -68,9 +68,9 @@
 
 bool ServerBoard::IsRetired(const VmId& server, TimePoint now, Common::Milliseconds list_lag) const
 {
-  if (!m_list_since || m_listed.contains(server))
+  if (!m_first_list_at || m_listed.contains(server))
     return false;
-  return m_ever_listed.contains(server) || now - *m_list_since >= list_lag;
+  return m_ever_listed.contains(server) || now - *m_first_list_at >= list_lag;
 }
 
 void ServerBoard::HintLoaded(const VmId& server, const ArtifactId& artifact, TimePoint now)
--- a/Source/Core/Serving/ServerBoard.h
+++ b/Source/Core/Serving/ServerBoard.h
@@ -64,7 +64,7 @@
   std::set<Common::VmId> m_leaving;
   std::set<Common::VmId> m_listed;
   std::set<Common::VmId> m_ever_listed;
-  std::optional<Common::TimePoint> m_list_since;
+  std::optional<Common::TimePoint> m_first_list_at;
   std::function<void(const std::set<Common::ArtifactId>&)> m_on_change;
 };
 } // namespace Serving
--- a/Source/Core/Serving/ServerWatch.cpp
+++ b/Source/Core/Serving/ServerWatch.cpp
@@ -170,7 +170,7 @@
   {
   case HolderStatus::Alive:
     return OrderStatus::HolderAlive;
-  case HolderStatus::Silent:
+  case HolderStatus::Unresponsive:
     return OrderStatus::HolderUnresponsive;
   case HolderStatus::Gone:
     return OrderStatus::HolderTerminated;
--- a/Source/Core/Serving/ServerWatchOrders.cpp
+++ b/Source/Core/Serving/ServerWatchOrders.cpp
@@ -420,7 +420,7 @@
   request.artifact = artifact.id;
   request.patience_ms = patience.count();
   request.weight = artifact.weight;
-  const auto reply = co_await m_environment.link.Ask(*pacer, Daemons::Call(request), patience);
+  const auto reply = co_await m_environment.link.SendCall(*pacer, Daemons::Call(request), patience);
   if (!reply)
     co_return reply.Reason().kind != FailureKind::Timeout;
   const auto* permit = std::get_if<Daemons::PermitReply>(&*reply);
@@ -435,6 +435,6 @@
     return;
   Daemons::PermitReturn message;
   message.claim = claim;
-  Common::Spawn(m_environment.link.Ask(*pacer, Daemons::Call(message), PERMIT_RETURN_TIMEOUT));
+  Common::Spawn(m_environment.link.SendCall(*pacer, Daemons::Call(message), PERMIT_RETURN_TIMEOUT));
 }
 } // namespace Serving
--- a/Source/Core/Serving/TableFollower.cpp
+++ b/Source/Core/Serving/TableFollower.cpp
@@ -240,8 +240,8 @@
 Task<void> TableFollower::PullFrom(Common::VmId vm)
 {
   Daemons::TablePull pull;
-  pull.have = m_revision;
-  const auto reply = co_await m_link.Ask(vm, Daemons::Call(pull), PULL_TIMEOUT);
+  pull.known_revision = m_revision;
+  const auto reply = co_await m_link.SendCall(vm, Daemons::Call(pull), PULL_TIMEOUT);
   m_pulling.erase(vm);
   if (!reply)
     co_return;
@@ -259,13 +259,13 @@
   Daemons::TableReply reply;
   reply.revision = m_revision;
   const bool stepwise =
-      pull.have >= m_revision ||
-      (!m_recent.empty() && m_recent.front().revision.Get() <= pull.have.Get() + 1);
+      pull.known_revision >= m_revision ||
+      (!m_recent.empty() && m_recent.front().revision.Get() <= pull.known_revision.Get() + 1);
   if (stepwise)
   {
     std::ranges::copy_if(m_recent, std::back_inserter(reply.changes),
                          [&](const Table::Change& change) {
-                           return change.revision > pull.have;
+                           return change.revision > pull.known_revision;
                          });
     return reply;
   }
@@ -315,7 +315,7 @@
   Step(change);
   // Only where the edit was accepted: if every daemon told all others, an edit would cost as many
   // heartbeats as there are pairs of daemons.
-  m_link.Announce();
+  m_link.ScheduleHeartbeats();
   co_return change;
 }
 
--- a/Source/UnitTests/Daemons/CodecTest.cpp
+++ b/Source/UnitTests/Daemons/CodecTest.cpp
@@ -8,8 +8,8 @@
 #include <cppunit/extensions/HelperMacros.h>
 
 #include "Daemons/Membership.h"
+#include "Daemons/MessageAuthentication.h"
 #include "Daemons/Messages.h"
-#include "Daemons/Seal.h"
 
 namespace
 {
@@ -21,17 +21,17 @@
 class CodecTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CodecTest);
-  CPPUNIT_TEST(EveryTruncationIsRejected);
-  CPPUNIT_TEST(AHugeLengthDoesNotAllocate);
-  CPPUNIT_TEST(IntegersTakeTheBytesTheyNeed);
-  CPPUNIT_TEST(AnIntegerBeyondItsTypeIsRejected);
-  CPPUNIT_TEST(DatagramsOfOthersAreRejected);
+  CPPUNIT_TEST(TruncatedMessageIsRejected);
+  CPPUNIT_TEST(HugeLengthDoesNotAllocate);
+  CPPUNIT_TEST(IntegersAreEncodedAsVarints);
+  CPPUNIT_TEST(OutOfRangeIntegerIsRejected);
+  CPPUNIT_TEST(UnauthenticDatagramsAreRejected);
   CPPUNIT_TEST(ReplayedHeartbeatsAreRejected);
-  CPPUNIT_TEST(ANewVmIsNotTakenForGone);
+  CPPUNIT_TEST(NewVmIsNotConsideredGone);
   CPPUNIT_TEST_SUITE_END();
 
-  static Daemons::Heartbeat Beat(std::int64_t sequence, const char* incarnation = "d-1",
-                                 std::int64_t started = 1)
+  static Daemons::Heartbeat MakeHeartbeat(std::int64_t sequence, const char* incarnation = "d-1",
+                                          std::int64_t started = 1)
   {
     Daemons::Heartbeat heartbeat;
     heartbeat.vm = VmId("entry-2");
@@ -41,7 +41,7 @@
     return heartbeat;
   }
 
-  void EveryTruncationIsRejected()
+  void TruncatedMessageIsRejected()
   {
     Daemons::StatusReply reply;
     reply.servers.resize(2);
@@ -55,16 +55,16 @@
     CPPUNIT_ASSERT(!Daemons::Decode<Daemons::Envelope>(bytes + "x"));
   }
 
-  void AHugeLengthDoesNotAllocate()
+  void HugeLengthDoesNotAllocate()
   {
-    std::string bytes = Daemons::Encode(Beat(1));
+    std::string bytes = Daemons::Encode(MakeHeartbeat(1));
     CPPUNIT_ASSERT_EQUAL('\7', bytes[0]); // Length prefix of "entry-2".
     const std::string huge = Daemons::Encode(std::uint64_t(1) << 60);
     bytes.replace(0, 1, huge);
     CPPUNIT_ASSERT(!Daemons::Decode<Daemons::Heartbeat>(bytes));
   }
 
-  void IntegersTakeTheBytesTheyNeed()
+  void IntegersAreEncodedAsVarints()
   {
     const auto check = [](auto value, std::size_t size) {
       const std::string bytes = Daemons::Encode(value);
@@ -83,48 +83,48 @@
     check(0.25, 8);
   }
 
-  void AnIntegerBeyondItsTypeIsRejected()
+  void OutOfRangeIntegerIsRejected()
   {
     const std::string wide = Daemons::Encode(std::int64_t(1) << 40);
     CPPUNIT_ASSERT(!Daemons::Decode<std::int32_t>(wide));
     CPPUNIT_ASSERT(!Daemons::Decode<std::uint64_t>(std::string(11, '\xff')));
   }
 
-  void DatagramsOfOthersAreRejected()
+  void UnauthenticDatagramsAreRejected()
   {
-    const std::string datagram = Daemons::SealDatagram("the shared key", "payload");
-    CPPUNIT_ASSERT(Daemons::OpenDatagram("the shared key", datagram) == "payload");
-    CPPUNIT_ASSERT(!Daemons::OpenDatagram("another key", datagram));
-    CPPUNIT_ASSERT(!Daemons::OpenDatagram("the shared key", datagram.substr(0, 10)));
+    const std::string datagram = Daemons::SignDatagram("the shared key", "payload");
+    CPPUNIT_ASSERT(Daemons::VerifyDatagram("the shared key", datagram) == "payload");
+    CPPUNIT_ASSERT(!Daemons::VerifyDatagram("another key", datagram));
+    CPPUNIT_ASSERT(!Daemons::VerifyDatagram("the shared key", datagram.substr(0, 10)));
     std::string other_version = datagram;
     ++other_version[0];
-    CPPUNIT_ASSERT(!Daemons::OpenDatagram("the shared key", other_version));
+    CPPUNIT_ASSERT(!Daemons::VerifyDatagram("the shared key", other_version));
     std::string changed = datagram;
     ++changed.back();
-    CPPUNIT_ASSERT(!Daemons::OpenDatagram("the shared key", changed));
+    CPPUNIT_ASSERT(!Daemons::VerifyDatagram("the shared key", changed));
   }
 
   void ReplayedHeartbeatsAreRejected()
   {
-    Daemons::Membership membership(Beat(0), {});
+    Daemons::Membership membership(MakeHeartbeat(0), {});
     const TimePoint now = TimePoint() + std::chrono::hours(1);
-    CPPUNIT_ASSERT(!membership.Accept(Beat(1), now));
+    CPPUNIT_ASSERT(!membership.Accept(MakeHeartbeat(1), now));
     membership.AddSeed(VmId("entry-2"), "");
     Daemons::Heartbeat self;
     self.vm = VmId("entry-1");
     Daemons::Membership other(self, {});
     other.AddSeed(VmId("entry-2"), "127.0.0.1:1");
-    CPPUNIT_ASSERT(other.Accept(Beat(5), now));
-    CPPUNIT_ASSERT(!other.Accept(Beat(5), now));
-    CPPUNIT_ASSERT(!other.Accept(Beat(4), now));
-    CPPUNIT_ASSERT(other.Accept(Beat(1, "d-2", 2), now));
-    CPPUNIT_ASSERT(!other.Accept(Beat(9, "d-1", 1), now));
+    CPPUNIT_ASSERT(other.Accept(MakeHeartbeat(5), now));
+    CPPUNIT_ASSERT(!other.Accept(MakeHeartbeat(5), now));
+    CPPUNIT_ASSERT(!other.Accept(MakeHeartbeat(4), now));
+    CPPUNIT_ASSERT(other.Accept(MakeHeartbeat(1, "d-2", 2), now));
+    CPPUNIT_ASSERT(!other.Accept(MakeHeartbeat(9, "d-1", 1), now));
     TimePoint since;
     CPPUNIT_ASSERT(other.StatusOf(VmId("entry-2"), Common::Incarnation("d-1"), now, &since) ==
                    HolderStatus::Gone);
   }
 
-  void ANewVmIsNotTakenForGone()
+  void NewVmIsNotConsideredGone()
   {
     Daemons::Heartbeat self;
     self.vm = VmId("entry-1");
@@ -134,9 +134,9 @@
     const auto status = [&](TimePoint now) {
       return membership.StatusOf(VmId("entry-9"), Common::Incarnation("d-9"), now, &since);
     };
-    CPPUNIT_ASSERT(status(start + std::chrono::hours(9)) == HolderStatus::Silent);
+    CPPUNIT_ASSERT(status(start + std::chrono::hours(9)) == HolderStatus::Unresponsive);
     membership.SetListed({}, start);
-    CPPUNIT_ASSERT(status(start + Milliseconds(4000)) == HolderStatus::Silent);
+    CPPUNIT_ASSERT(status(start + Milliseconds(4000)) == HolderStatus::Unresponsive);
     CPPUNIT_ASSERT(status(start + Milliseconds(5000)) == HolderStatus::Gone);
   }
 };
--- a/Source/UnitTests/Fuzz.cpp
+++ b/Source/UnitTests/Fuzz.cpp
@@ -16,8 +16,8 @@
 #include "Callers/PlainServices.h"
 #include "Common/Random.h"
 #include "Daemons/Codec.h"
+#include "Daemons/MessageAuthentication.h"
 #include "Daemons/Messages.h"
-#include "Daemons/Seal.h"
 #include "Gateway/Forwarding.h"
 #include "Http/MessageParser.h"
 #include "Orders/Messages.h"
@@ -135,9 +135,9 @@
        [](const std::string& bytes) {
          (void)Daemons::Decode<Daemons::Heartbeat>(bytes);
        }},
-      {"datagram", Daemons::SealDatagram("key", "payload"),
+      {"datagram", Daemons::SignDatagram("key", "payload"),
        [](const std::string& bytes) {
-         (void)Daemons::OpenDatagram("key", bytes);
+         (void)Daemons::VerifyDatagram("key", bytes);
        }},
       {"table file", csv,
        [](const std::string& text) {
