--- a/Source/Core/Daemon/Application.cpp
+++ b/Source/Core/Daemon/Application.cpp
@@ -33,7 +33,8 @@
 
 constexpr Milliseconds PLATFORM_TIMEOUT{1000};
 constexpr Milliseconds VM_LIST_INTERVAL{500};
-/// The more daemons there are, the rarer each reads the platform's list: 200 reads a second in all.
+/// Read interval of the platform's VM list per peer: the interval grows with the number of daemons,
+/// so that together they make at most 200 reads a second.
 constexpr Milliseconds VM_LIST_SHARE{5};
 constexpr Milliseconds REBALANCE_INTERVAL{100};
 constexpr Milliseconds STOP_POLL{20};
@@ -343,8 +344,9 @@
         this);
   }
 
-  /// A planned stop: the balancer and the peers learn of it, requests go on to their end, roles
-  /// move to the others, and the process exits.
+  /// Graceful shutdown: tells the load balancer and the peers that this daemon is leaving, so that
+  /// its roles move to other daemons, waits for open requests and jobs up to the stop limit, and
+  /// ends the main loop.
   Task<void> Stop()
   {
     LogEvent(LogLevel::Info, "daemon.stopping", {{"open", callers_server.OpenExchanges()}});
