--- a/Source/Core/Common/Compression.cpp
+++ b/Source/Core/Common/Compression.cpp
@@ -17,9 +17,9 @@
 /// The fastest standard level of zstd. Compressing a text of 845 KB with its old version as the
 /// dictionary takes 2 ms, and a change of one line results in 140 bytes. zlib with its window of
 /// 32 KB took 10 ms and needed 75 KB. Higher zstd levels brought no improvement.
-constexpr int LEVEL = 1;
+constexpr int COMPRESSION_LEVEL = 1;
 /// Above this total size of text and dictionary, zstd's default window may not cover both.
-constexpr std::size_t LONG_TEXT = 100'000;
+constexpr std::size_t LONG_DISTANCE_THRESHOLD = 100'000;
 
 struct FreeContext
 {
@@ -47,17 +47,17 @@
 std::string Compress(std::string_view bytes, std::string_view dictionary)
 {
   ZSTD_CCtx* context = Compressor();
-  ZSTD_CCtx_setParameter(context, ZSTD_c_compressionLevel, LEVEL);
-  const std::size_t reach = bytes.size() + dictionary.size();
-  if (reach > LONG_TEXT)
+  ZSTD_CCtx_setParameter(context, ZSTD_c_compressionLevel, COMPRESSION_LEVEL);
+  const std::size_t total_size = bytes.size() + dictionary.size();
+  if (total_size > LONG_DISTANCE_THRESHOLD)
   {
-    ZSTD_CCtx_setParameter(context, ZSTD_c_windowLog, static_cast<int>(std::bit_width(reach)));
+    ZSTD_CCtx_setParameter(context, ZSTD_c_windowLog, static_cast<int>(std::bit_width(total_size)));
     ZSTD_CCtx_setParameter(context, ZSTD_c_enableLongDistanceMatching, 1);
   }
   ZSTD_CCtx_refPrefix(context, dictionary.data(), dictionary.size());
-  std::string packed(ZSTD_compressBound(bytes.size()), '\0');
+  std::string compressed(ZSTD_compressBound(bytes.size()), '\0');
   const std::size_t size =
-      ZSTD_compress2(context, packed.data(), packed.size(), bytes.data(), bytes.size());
+      ZSTD_compress2(context, compressed.data(), compressed.size(), bytes.data(), bytes.size());
   if (ZSTD_isError(size) != 0)
   {
     // The output buffer has the maximum size, so this fails only if memory runs out. Decompress()
@@ -65,14 +65,14 @@
     LogEvent(LogLevel::Error, "compression-failed", {{"reason", ZSTD_getErrorName(size)}});
     return "";
   }
-  packed.resize(size);
-  return packed;
+  compressed.resize(size);
+  return compressed;
 }
 
-Result<std::string> Decompress(std::string_view packed, std::string_view dictionary,
+Result<std::string> Decompress(std::string_view compressed, std::string_view dictionary,
                                std::size_t max_size)
 {
-  const auto size = ZSTD_getFrameContentSize(packed.data(), packed.size());
+  const auto size = ZSTD_getFrameContentSize(compressed.data(), compressed.size());
   // ZSTD_CONTENTSIZE_UNKNOWN and ZSTD_CONTENTSIZE_ERROR are larger than any limit.
   if (size > max_size)
     return {FailureKind::Protocol,
@@ -80,8 +80,8 @@
   ZSTD_DCtx* context = Decompressor();
   ZSTD_DCtx_refPrefix(context, dictionary.data(), dictionary.size());
   std::string bytes(size, '\0');
-  const std::size_t done =
-      ZSTD_decompressDCtx(context, bytes.data(), bytes.size(), packed.data(), packed.size());
+  const std::size_t done = ZSTD_decompressDCtx(context, bytes.data(), bytes.size(),
+                                               compressed.data(), compressed.size());
   if (done != bytes.size())
     return {FailureKind::Protocol, "incomplete or corrupt compressed text, or wrong dictionary"};
   return bytes;
--- a/Source/Core/Common/Compression.h
+++ b/Source/Core/Common/Compression.h
@@ -17,6 +17,6 @@
 
 /// Fails with Protocol if the input is not a complete compressed text, needs another dictionary, or
 /// decompresses to more than `max_size` bytes.
-Result<std::string> Decompress(std::string_view packed, std::string_view dictionary,
+Result<std::string> Decompress(std::string_view compressed, std::string_view dictionary,
                                std::size_t max_size);
 } // namespace Common
--- a/Source/Core/Common/Decimal.cpp
+++ b/Source/Core/Common/Decimal.cpp
@@ -21,7 +21,7 @@
 
 std::optional<double> ParseDecimal(std::string_view text)
 {
-  text = WithoutTrailingBlanks(text);
+  text = TrimTrailingBlanks(text);
   if (text.empty() || !std::ranges::all_of(text, IsDigitOrPoint))
     return std::nullopt;
   double number = 0;
--- a/Source/Core/Common/FieldReader.cpp
+++ b/Source/Core/Common/FieldReader.cpp
@@ -18,7 +18,7 @@
   const Json* field = Find(path);
   if (field != nullptr && field->is_string() && !field->get<std::string>().empty())
     return field->get<std::string>();
-  NoteWrong(path, "a text");
+  AddError(path, "a text");
   return "";
 }
 
@@ -28,20 +28,20 @@
   if (field != nullptr && field->is_number())
   {
     const double found = field->get<double>();
-    if (found >= expected.least && found <= expected.most)
+    if (found >= expected.min && found <= expected.max)
     {
       value = found;
       return true;
     }
   }
-  NoteWrong(path, std::string(expected.unit) + " between " + Json(expected.least).dump() + " and " +
-                      Json(expected.most).dump());
+  AddError(path, std::string(expected.unit) + " between " + Json(expected.min).dump() + " and " +
+                     Json(expected.max).dump());
   return false;
 }
 
 double FieldReader::Number(const char* path, const ExpectedNumber& expected)
 {
-  double value = expected.least;
+  double value = expected.min;
   Read(path, expected, value);
   return value;
 }
@@ -53,32 +53,32 @@
   return fallback;
 }
 
-Milliseconds FieldReader::SpanOr(const char* path, const ExpectedNumber& expected,
-                                 Milliseconds fallback)
+Milliseconds FieldReader::DurationOr(const char* path, const ExpectedNumber& expected,
+                                     Milliseconds fallback)
 {
-  const double units = static_cast<double>(fallback.count()) / expected.milliseconds;
+  const double units = static_cast<double>(fallback.count()) / expected.milliseconds_per_unit;
   const double read = NumberOr(path, expected, units);
-  return Milliseconds(static_cast<std::int64_t>(read * expected.milliseconds));
+  return Milliseconds(static_cast<std::int64_t>(read * expected.milliseconds_per_unit));
 }
 
-bool FieldReader::FlagOr(const char* path, bool fallback)
+bool FieldReader::BoolOr(const char* path, bool fallback)
 {
   const Json* field = Find(path);
   if (field == nullptr)
     return fallback;
   if (field->is_boolean())
     return field->get<bool>();
-  NoteWrong(path, "true or false");
+  AddError(path, "true or false");
   return fallback;
 }
 
-void FieldReader::NoteWrong(const char* path, std::string_view expected)
+void FieldReader::AddError(const char* path, std::string_view expected)
 {
   std::string name(path + 1);
   std::ranges::replace(name, '/', '.');
   const Json* found = Find(path);
-  m_problems += m_problems.empty() ? "" : "; ";
-  m_problems += name + ": expected " + std::string(expected) + ", found " +
-                (found == nullptr ? "nothing" : DumpJson(*found));
+  m_errors += m_errors.empty() ? "" : "; ";
+  m_errors += name + ": expected " + std::string(expected) + ", found " +
+              (found == nullptr ? "nothing" : DumpJson(*found));
 }
 } // namespace Common
--- a/Source/Core/Common/FieldReader.h
+++ b/Source/Core/Common/FieldReader.h
@@ -17,9 +17,9 @@
 struct ExpectedNumber
 {
   std::string_view unit;
-  double least = 0;
-  double most = 0;
-  double milliseconds = 0; ///< Milliseconds per unit, if the number is a duration.
+  double min = 0;
+  double max = 0;
+  double milliseconds_per_unit = 0; ///< Milliseconds per unit, if the number is a duration.
 };
 
 /// Reads the fields of a settings file and collects a message for each missing or invalid one, so
@@ -37,10 +37,10 @@
   /// Reads an optional number.
   double NumberOr(const char* path, const ExpectedNumber& expected, double fallback);
   /// Reads an optional duration.
-  Milliseconds SpanOr(const char* path, const ExpectedNumber& expected, Milliseconds fallback);
+  Milliseconds DurationOr(const char* path, const ExpectedNumber& expected, Milliseconds fallback);
 
   /// Reads an optional boolean.
-  bool FlagOr(const char* path, bool fallback);
+  bool BoolOr(const char* path, bool fallback);
 
   /// Reads a required string that `parse` converts to a `Result<T>`. Returns a default T on error.
   template <typename Parse>
@@ -51,18 +51,18 @@
     if (field != nullptr && field->is_string())
       if (const auto value = parse(field->get<std::string>()))
         return Value(*value);
-    NoteWrong(path, expected);
+    AddError(path, expected);
     return Value();
   }
   /// All error messages, separated by semicolons; empty if there are none.
-  const std::string& Problems() const { return m_problems; }
+  const std::string& Errors() const { return m_errors; }
 
 private:
   const Json* Find(const char* path) const;
-  void NoteWrong(const char* path, std::string_view expected);
+  void AddError(const char* path, std::string_view expected);
   bool Read(const char* path, const ExpectedNumber& expected, double& value);
 
   const Json& m_fields;
-  std::string m_problems;
+  std::string m_errors;
 };
 } // namespace Common
--- a/Source/Core/Common/Log.cpp
+++ b/Source/Core/Common/Log.cpp
@@ -24,11 +24,11 @@
 constexpr int INFO_LINES_PER_SECOND = 40;
 constexpr int WARNING_LINES_PER_SECOND = 100;
 /// Lines are buffered for this time, so that one write carries several.
-constexpr Milliseconds GATHER_TIME{25};
+constexpr Milliseconds BUFFER_TIME{25};
 /// A pipe that polls as writable accepts this much without blocking (PIPE_BUF on Linux).
 constexpr std::size_t WRITE_BYTES = 4096;
 /// Size limit of the buffer. Lines that exceed it are dropped.
-constexpr std::size_t MAX_WAITING_BYTES = 262144;
+constexpr std::size_t MAX_BUFFERED_BYTES = 262144;
 
 struct EventRate
 {
@@ -43,7 +43,7 @@
 public:
   void Add(const std::string& line, bool urgent)
   {
-    if (m_waiting.size() + line.size() > MAX_WAITING_BYTES)
+    if (m_buffer.size() + line.size() > MAX_BUFFERED_BYTES)
     {
       ++counters.dropped;
       return;
@@ -51,27 +51,27 @@
     ++counters.written;
     if (muted)
       return;
-    m_waiting += line;
-    if (urgent || m_waiting.size() >= WRITE_BYTES)
+    m_buffer += line;
+    if (urgent || m_buffer.size() >= WRITE_BYTES)
       Write();
     else
-      WriteSoon();
+      ScheduleWrite();
   }
 
   void Write()
   {
     std::size_t begin = 0;
-    while (begin < m_waiting.size() && IsWritable())
+    while (begin < m_buffer.size() && IsWritable())
     {
-      const auto size = std::min(m_waiting.size() - begin, WRITE_BYTES);
-      const ssize_t count = write(STDOUT_FILENO, m_waiting.data() + begin, size);
+      const auto size = std::min(m_buffer.size() - begin, WRITE_BYTES);
+      const ssize_t count = write(STDOUT_FILENO, m_buffer.data() + begin, size);
       if (count <= 0)
         break;
       begin += static_cast<std::size_t>(count);
     }
-    m_waiting.erase(0, begin);
-    if (!m_waiting.empty())
-      WriteSoon();
+    m_buffer.erase(0, begin);
+    if (!m_buffer.empty())
+      ScheduleWrite();
   }
 
   LogCounters counters;
@@ -84,21 +84,21 @@
     return poll(&out, 1, 0) == 1 && (out.revents & POLLOUT) != 0;
   }
 
-  void WriteSoon()
+  void ScheduleWrite()
   {
     if (m_timer != 0)
       return;
-    m_timer = CallAfter(GATHER_TIME, [this] {
+    m_timer = CallAfter(BUFFER_TIME, [this] {
       m_timer = 0;
       Write();
     });
   }
 
-  std::string m_waiting;
+  std::string m_buffer;
   CallId m_timer = 0;
 };
 
-Output& TheOutput()
+Output& GetOutput()
 {
   static Output s_output;
   return s_output;
@@ -118,7 +118,7 @@
 }
 
 /// Applies the rate limit of the event. Returns true if the line may be written.
-bool Admit(LogLevel level, std::string_view event, int& suppressed)
+bool CheckRateLimit(LogLevel level, std::string_view event, int& suppressed)
 {
   static std::map<std::string, EventRate, std::less<>> s_rates;
   auto found = s_rates.find(event);
@@ -135,7 +135,7 @@
   if (rate.written >= (level == LogLevel::Info ? INFO_LINES_PER_SECOND : WARNING_LINES_PER_SECOND))
   {
     ++rate.suppressed;
-    ++TheOutput().counters.suppressed;
+    ++GetOutput().counters.suppressed;
     return false;
   }
   ++rate.written;
@@ -174,7 +174,7 @@
 }
 
 /// Current time as "2026-12-02T14:23:20.123Z". The text up to the seconds is cached.
-std::string TimeText()
+std::string FormatCurrentTime()
 {
   static gint64 s_second = -1;
   static std::string s_text;
@@ -195,7 +195,7 @@
 void WriteLine(LogLevel level, std::string_view event, std::initializer_list<LogField> fields,
                int suppressed)
 {
-  std::string line = TimeText() + " " + LevelName(level) + " " + ProgramName() + " event=";
+  std::string line = FormatCurrentTime() + " " + LevelName(level) + " " + ProgramName() + " event=";
   line += event;
   for (const LogField& field : fields)
   {
@@ -207,7 +207,7 @@
   if (suppressed > 0)
     line += " suppressed=" + std::to_string(suppressed);
   line += '\n';
-  TheOutput().Add(line, level == LogLevel::Error);
+  GetOutput().Add(line, level == LogLevel::Error);
 }
 
 /// Logs the warnings and errors of GLib and of libraries that use its log.
@@ -243,22 +243,22 @@
 void LogEvent(LogLevel level, std::string_view event, std::initializer_list<LogField> fields)
 {
   int suppressed = 0;
-  if (Admit(level, event, suppressed))
+  if (CheckRateLimit(level, event, suppressed))
     WriteLine(level, event, fields, suppressed);
 }
 
 void MuteLog()
 {
-  TheOutput().muted = true;
+  GetOutput().muted = true;
 }
 
 void FlushLog()
 {
-  TheOutput().Write();
+  GetOutput().Write();
 }
 
-const LogCounters& CountLogLines()
+const LogCounters& GetLogCounters()
 {
-  return TheOutput().counters;
+  return GetOutput().counters;
 }
 } // namespace Common
--- a/Source/Core/Common/Log.h
+++ b/Source/Core/Common/Log.h
@@ -69,5 +69,5 @@
 /// Writes the buffered lines, at process exit.
 void FlushLog();
 
-const LogCounters& CountLogLines();
+const LogCounters& GetLogCounters();
 } // namespace Common
--- a/Source/Core/Common/Mechanisms.cpp
+++ b/Source/Core/Common/Mechanisms.cpp
@@ -30,9 +30,9 @@
     {"gathered-changes", Mechanism::GatheredChanges},
 }};
 
-std::bitset<NAMES.size()> s_off;
+std::bitset<NAMES.size()> s_disabled;
 
-std::string AllNames()
+std::string JoinMechanismNames()
 {
   std::string names;
   for (const Name& name : NAMES)
@@ -41,7 +41,7 @@
 }
 } // namespace
 
-Result<Done> SwitchOff(std::string_view list)
+Result<Done> DisableMechanisms(std::string_view list)
 {
   std::bitset<NAMES.size()> off;
   while (!list.empty())
@@ -51,16 +51,16 @@
     list.remove_prefix(std::min(comma + 1, list.size()));
     const auto found = std::ranges::find(NAMES, entry, &Name::first);
     if (found == NAMES.end())
-      return {FailureKind::InvalidInput,
-              "without: unknown mechanism \"" + std::string(entry) + "\"; known: " + AllNames()};
+      return {FailureKind::InvalidInput, "without: unknown mechanism \"" + std::string(entry) +
+                                             "\"; known: " + JoinMechanismNames()};
     off.set(static_cast<std::size_t>(found->second));
   }
-  s_off = off;
+  s_disabled = off;
   return Done{};
 }
 
 bool IsOn(Mechanism mechanism)
 {
-  return !s_off.test(static_cast<std::size_t>(mechanism));
+  return !s_disabled.test(static_cast<std::size_t>(mechanism));
 }
 } // namespace Common
--- a/Source/Core/Common/Mechanisms.h
+++ b/Source/Core/Common/Mechanisms.h
@@ -30,6 +30,6 @@
 
 /// Disables exactly the mechanisms in a list such as "affinity,turns"; an empty list enables all.
 /// On an unknown entry it changes nothing and fails with InvalidInput, listing the known names.
-Result<Done> SwitchOff(std::string_view list);
+Result<Done> DisableMechanisms(std::string_view list);
 bool IsOn(Mechanism mechanism);
 } // namespace Common
--- a/Source/Core/Common/Metrics.cpp
+++ b/Source/Core/Common/Metrics.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 /// In seconds. 0.69 is the target for the time to first token at the design load.
-const prometheus::Histogram::BucketBoundaries LATENCY_BOUNDS{
+const prometheus::Histogram::BucketBoundaries LATENCY_BUCKETS{
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 0.69, 1, 2.5, 5, 10, 30, 60};
 
 double InSeconds(Milliseconds time)
@@ -59,17 +59,17 @@
 
 void Metrics::ObserveFirstToken(Common::Milliseconds time, bool cold)
 {
-  m_first_token.Add({{"start", cold ? "cold" : "warm"}}, LATENCY_BOUNDS).Observe(InSeconds(time));
+  m_first_token.Add({{"start", cold ? "cold" : "warm"}}, LATENCY_BUCKETS).Observe(InSeconds(time));
 }
 
 void Metrics::ObserveLatency(const std::string& route, Milliseconds time)
 {
-  m_latency.Add({{"route", route}}, LATENCY_BOUNDS).Observe(InSeconds(time));
+  m_latency.Add({{"route", route}}, LATENCY_BUCKETS).Observe(InSeconds(time));
 }
 
 void Metrics::ObserveLongestPause(const std::string& route, Milliseconds pause)
 {
-  m_pauses.Add({{"route", route}}, LATENCY_BOUNDS).Observe(InSeconds(pause));
+  m_pauses.Add({{"route", route}}, LATENCY_BUCKETS).Observe(InSeconds(pause));
 }
 
 void Metrics::SetGauge(const std::string& name, double value)
--- a/Source/Core/Common/Reactor.cpp
+++ b/Source/Core/Common/Reactor.cpp
@@ -16,10 +16,10 @@
 {
 namespace
 {
-constexpr int EVENTS_PER_TURN = 128;
+constexpr int EVENTS_PER_ITERATION = 128;
 /// Upper limit of a wait. The kernel's timeouts do not count the time during which the VM is
 /// suspended, so a timer that became due meanwhile may fire late by up to this time.
-constexpr Milliseconds LONGEST_WAIT{100};
+constexpr Milliseconds MAX_EPOLL_WAIT{100};
 
 struct ReactorSource
 {
@@ -119,7 +119,7 @@
   if (m_timers.empty())
     return false;
   const auto left = std::chrono::ceil<Milliseconds>(m_timers.begin()->first - Now());
-  *timeout_ms = static_cast<int>(std::clamp(left, Milliseconds(0), LONGEST_WAIT).count());
+  *timeout_ms = static_cast<int>(std::clamp(left, Milliseconds(0), MAX_EPOLL_WAIT).count());
   return left.count() <= 0;
 }
 
@@ -137,8 +137,8 @@
   while (!m_timers.empty() && m_timers.begin()->first <= now)
   {
     const auto first = m_timers.begin();
-    m_worst_delay =
-        std::max(m_worst_delay, std::chrono::duration_cast<Milliseconds>(now - first->first));
+    m_max_timer_delay =
+        std::max(m_max_timer_delay, std::chrono::duration_cast<Milliseconds>(now - first->first));
     const auto callback = std::move(first->second.callback);
     m_timer_index.erase(first->second.id);
     m_timers.erase(first);
@@ -148,8 +148,8 @@
 
 void Reactor::RunDescriptors()
 {
-  std::array<epoll_event, EVENTS_PER_TURN> events{};
-  const int count = epoll_wait(m_epoll, events.data(), EVENTS_PER_TURN, 0);
+  std::array<epoll_event, EVENTS_PER_ITERATION> events{};
+  const int count = epoll_wait(m_epoll, events.data(), EVENTS_PER_ITERATION, 0);
   for (int i = 0; i < count; ++i)
   {
     const auto found = m_watches.find(events[i].data.u64);
@@ -158,9 +158,9 @@
   }
 }
 
-Milliseconds Reactor::TakeWorstDelay()
+Milliseconds Reactor::TakeMaxTimerDelay()
 {
-  return std::exchange(m_worst_delay, Milliseconds(0));
+  return std::exchange(m_max_timer_delay, Milliseconds(0));
 }
 
 void OwnedTimer::Start(Milliseconds delay, std::function<void()> callback)
--- a/Source/Core/Common/Reactor.h
+++ b/Source/Core/Common/Reactor.h
@@ -50,7 +50,7 @@
   void Dispatch();
 
   /// Returns the largest delay of a timer past its due time since the last call.
-  Milliseconds TakeWorstDelay();
+  Milliseconds TakeMaxTimerDelay();
 
 private:
   struct Timer
@@ -69,7 +69,7 @@
   std::unordered_map<std::uint64_t, DescriptorHandler*> m_watches;
   std::multimap<TimePoint, Timer> m_timers;
   std::unordered_map<TimerId, std::multimap<TimePoint, Timer>::iterator> m_timer_index;
-  Milliseconds m_worst_delay{0};
+  Milliseconds m_max_timer_delay{0};
 };
 
 /// A timer that is cancelled on destruction.
--- a/Source/Core/Common/Text.h
+++ b/Source/Core/Common/Text.h
@@ -9,7 +9,7 @@
 {
 /// Removes trailing blanks. They are not part of a header value (RFC 9110, 5.5), but the parser
 /// keeps them.
-inline std::string_view WithoutTrailingBlanks(std::string_view text)
+inline std::string_view TrimTrailingBlanks(std::string_view text)
 {
   const auto last = text.find_last_not_of(" \t");
   return text.substr(0, last == std::string_view::npos ? 0 : last + 1);
--- a/Source/Core/Daemon/Settings.cpp
+++ b/Source/Core/Daemon/Settings.cpp
@@ -139,7 +139,7 @@
 
   void Without(const std::string& name)
   {
-    const auto switched = Common::SwitchOff(Text(name));
+    const auto switched = Common::DisableMechanisms(Text(name));
     if (!switched)
       Fail(name, switched.Reason().detail);
   }
--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -554,12 +554,12 @@
   }
   for (const auto& [instance, server] : m_servers.All())
     m_metrics.SetGauge("in_flight_" + instance.Get(), server->InFlight());
-  const Common::LogCounters& log = Common::CountLogLines();
+  const Common::LogCounters& log = Common::GetLogCounters();
   m_metrics.SetGauge("log_lines_written", static_cast<double>(log.written));
   m_metrics.SetGauge("log_lines_suppressed", static_cast<double>(log.suppressed));
   m_metrics.SetGauge("log_lines_dropped", static_cast<double>(log.dropped));
   m_metrics.SetGauge("loop_delay_worst_ms",
-                     static_cast<double>(Common::Reactor::Get().TakeWorstDelay().count()));
+                     static_cast<double>(Common::Reactor::Get().TakeMaxTimerDelay().count()));
 }
 
 void Dispatcher::BeginStop()
--- a/Source/Core/Gateway/RelayAdmission.cpp
+++ b/Source/Core/Gateway/RelayAdmission.cpp
@@ -98,7 +98,7 @@
   std::vector<std::string_view> keys;
   for (const Http::HeaderField& field : m_request.head.headers)
     if (Http::EqualIgnoringCase(field.name, name))
-      keys.push_back(Common::WithoutTrailingBlanks(field.value));
+      keys.push_back(Common::TrimTrailingBlanks(field.value));
   return keys;
 }
 
--- a/Source/Core/Gateway/ServerSignals.cpp
+++ b/Source/Core/Gateway/ServerSignals.cpp
@@ -62,7 +62,7 @@
   signals.accepted = !signals.not_run && !IsRejectionForLoad(status);
   for (const std::string& value : ValuesOf(headers, names.draining))
   {
-    const std::string_view text = Common::WithoutTrailingBlanks(value);
+    const std::string_view text = Common::TrimTrailingBlanks(value);
     signals.draining = signals.draining || text == DRAINING;
     if (text != DRAINING && text != NOT_DRAINING)
       signals.invalid.push_back({names.draining, value});
--- a/Source/UnitTests/Common/MechanismsTest.cpp
+++ b/Source/UnitTests/Common/MechanismsTest.cpp
@@ -9,34 +9,34 @@
 
 namespace
 {
+using Common::DisableMechanisms;
 using Common::IsOn;
 using Common::Mechanism;
-using Common::SwitchOff;
 
 class MechanismsTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(MechanismsTest);
-  CPPUNIT_TEST(AllAreOnUnlessNamed);
-  CPPUNIT_TEST(AnUnknownNameChangesNothingAndNamesTheKnown);
+  CPPUNIT_TEST(MechanismsAreEnabledUnlessListed);
+  CPPUNIT_TEST(UnknownNameChangesNothingAndListsKnownNames);
   CPPUNIT_TEST_SUITE_END();
 
 public:
-  void tearDown() override { CPPUNIT_ASSERT(SwitchOff("")); }
+  void tearDown() override { CPPUNIT_ASSERT(DisableMechanisms("")); }
 
 private:
-  void AllAreOnUnlessNamed()
+  void MechanismsAreEnabledUnlessListed()
   {
     CPPUNIT_ASSERT(IsOn(Mechanism::Affinity));
-    CPPUNIT_ASSERT(SwitchOff("affinity,gathered-changes"));
+    CPPUNIT_ASSERT(DisableMechanisms("affinity,gathered-changes"));
     CPPUNIT_ASSERT(!IsOn(Mechanism::Affinity));
     CPPUNIT_ASSERT(!IsOn(Mechanism::GatheredChanges));
     CPPUNIT_ASSERT(IsOn(Mechanism::Ejection));
   }
 
-  void AnUnknownNameChangesNothingAndNamesTheKnown()
+  void UnknownNameChangesNothingAndListsKnownNames()
   {
-    CPPUNIT_ASSERT(SwitchOff("turns"));
-    const auto refused = SwitchOff("ejection,turn");
+    CPPUNIT_ASSERT(DisableMechanisms("turns"));
+    const auto refused = DisableMechanisms("ejection,turn");
     CPPUNIT_ASSERT(!refused);
     CPPUNIT_ASSERT(refused.Reason().detail.find("\"turn\"") != std::string::npos);
     CPPUNIT_ASSERT(refused.Reason().detail.find("spare-replicas") != std::string::npos);
--- a/Source/UnitTests/Common/SuspendedVmTest.cpp
+++ b/Source/UnitTests/Common/SuspendedVmTest.cpp
@@ -26,7 +26,7 @@
 constexpr Milliseconds SUSPENDED{5000};
 
 /// Records how an exchange failed.
-class Breakages : public Http::AnswerEvents
+class BreakageRecorder : public Http::AnswerEvents
 {
 public:
   Verdict OnAnswerHead(Http::MessageHead&) override { return Verdict::Take; }
@@ -40,25 +40,25 @@
 class SuspendedVmTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(SuspendedVmTest);
-  CPPUNIT_TEST(AgesAndTimersCountTheTime);
-  CPPUNIT_TEST(ARequestDoesNotGoOutWithTheTimeOfBefore);
+  CPPUNIT_TEST(ClockAndTimersIncludeSuspension);
+  CPPUNIT_TEST(RequestIsNotSentAfterSuspensionExceedsItsDeadline);
   CPPUNIT_TEST_SUITE_END();
 
   /// The connection is established during the suspension, and its readiness event is handled before
   /// any timer runs.
-  void ARequestDoesNotGoOutWithTheTimeOfBefore()
+  void RequestIsNotSentAfterSuspensionExceedsItsDeadline()
   {
     UnitTests::TestServer server([](auto&, const auto&) {});
-    Breakages breakages;
+    BreakageRecorder recorder;
     const auto connection = Http::OriginConnection::Connect(server.Address());
-    connection->Send("GET / HTTP/1.1\r\nLeft-Ms: 1500\r\n\r\n", &breakages);
+    connection->Send("GET / HTTP/1.1\r\nLeft-Ms: 1500\r\n\r\n", &recorder);
     SuspendVm(SUSPENDED);
     RunFor(Milliseconds(50));
-    CPPUNIT_ASSERT(breakages.last == Http::Breakage::ConnectTimedOut);
+    CPPUNIT_ASSERT(recorder.last == Http::Breakage::ConnectTimedOut);
     CPPUNIT_ASSERT(server.requests.empty());
   }
 
-  void AgesAndTimersCountTheTime()
+  void ClockAndTimersIncludeSuspension()
   {
     Accounts::KeyFreshness keys;
     keys.Configure(SUSPENDED);
