--- a/Source/Core/Daemon/Application.cpp
+++ b/Source/Core/Daemon/Application.cpp
@@ -35,13 +35,13 @@
 constexpr Milliseconds VM_LIST_INTERVAL{500};
 /// Read interval of the platform's VM list per peer: the interval grows with the number of daemons,
 /// so that together they make at most 200 reads a second.
-constexpr Milliseconds VM_LIST_SHARE{5};
+constexpr Milliseconds VM_LIST_INTERVAL_PER_PEER{5};
 constexpr Milliseconds REBALANCE_INTERVAL{100};
 constexpr Milliseconds STOP_POLL{20};
 constexpr Milliseconds STATUS_PULL_TIMEOUT{1000};
 constexpr double DEFAULT_EXCHANGE_RATE = 20;
 
-Daemons::Heartbeat SelfOf(const Settings& settings)
+Daemons::Heartbeat MakeOwnHeartbeat(const Settings& settings)
 {
   Daemons::Heartbeat self;
   self.vm = settings.vm;
@@ -58,7 +58,7 @@
   link.address = settings.peers.address;
   link.port = settings.peers.port;
   link.key = settings.peer_key;
-  link.heartbeat_interval = settings.heartbeat;
+  link.heartbeat_interval = settings.heartbeat_interval;
   return link;
 }
 
@@ -101,10 +101,10 @@
       : settings(std::move(all)),
         platform(settings.platform, settings.vm, PLATFORM_TIMEOUT),
         engine(settings.vm),
-        membership(SelfOf(settings), {settings.dead_after, settings.list_lag}),
+        membership(MakeOwnHeartbeat(settings), {settings.dead_after, settings.list_lag}),
         store(platform, settings.vm.Get()),
         link(LinkSettingsOf(settings), membership),
-        table(store, link, membership, settings.table_poll),
+        table(store, link, membership, settings.table_poll_interval),
         policies(PoliciesOf(settings)),
         environment{store,   engine,   membership,        link, table, board,
                     explain, policies, TimingOf(settings)},
@@ -115,7 +115,7 @@
         gateway{environment, router, metrics, {}, Decisions::RetryBudget()},
         relay(gateway),
         chat(gateway, relay),
-        jobs(gateway, relay, settings.job_scan),
+        jobs(gateway, relay, settings.job_scan_interval),
         services(gateway),
         callers_server(LimitsOf(settings)),
         operators_server(LimitsOf(settings))
@@ -147,7 +147,7 @@
   std::unique_ptr<Operators::OperatorsApi> operators;
   Http::Server callers_server;
   Http::Server operators_server;
-  std::map<Common::VmId, std::int64_t> known_state;
+  std::map<Common::VmId, std::int64_t> known_state_version;
   std::map<Common::VmId, Common::Incarnation> known_incarnation;
   std::set<Common::VmId> pulling;
 
@@ -160,7 +160,7 @@
       return tokens.Reason();
     for (const auto& [vm, address] : settings.seeds)
       membership.AddSeed(vm, address);
-    ConnectParts();
+    RegisterLinkHandlers();
     auto linked = link.Start();
     if (!linked)
       return linked;
@@ -176,9 +176,9 @@
       OnTableChange();
     });
     jobs.Start();
-    Common::Spawn(FollowVmList());
-    Common::Spawn(KeepRolesCurrent());
-    WatchSignals();
+    Common::Spawn(PollVmList());
+    Common::Spawn(RebalancePeriodically());
+    RegisterSignalHandlers();
     LogEvent(LogLevel::Info, "daemon.started",
              {{"vm", settings.vm},
               {"data_centre", settings.data_centre},
@@ -186,10 +186,10 @@
     return Done{};
   }
 
-  void ConnectParts()
+  void RegisterLinkHandlers()
   {
     link.OnCall([this](Daemons::Call call) {
-      return Answer(std::move(call));
+      return HandleCall(std::move(call));
     });
     link.OnHeartbeat([this](const Daemons::Heartbeat& heartbeat) {
       OnHeartbeat(heartbeat);
@@ -221,9 +221,9 @@
   void OnHeartbeat(const Daemons::Heartbeat& heartbeat)
   {
     table.OnPeerRevision(heartbeat.vm, heartbeat.table_revision);
-    const bool news = known_state[heartbeat.vm] != heartbeat.state_version ||
-                      known_incarnation[heartbeat.vm] != heartbeat.incarnation;
-    if (news && pulling.insert(heartbeat.vm).second)
+    const bool has_changes = known_state_version[heartbeat.vm] != heartbeat.state_version ||
+                             known_incarnation[heartbeat.vm] != heartbeat.incarnation;
+    if (has_changes && pulling.insert(heartbeat.vm).second)
       Common::Spawn(PullStatuses(heartbeat.vm, heartbeat.incarnation));
   }
 
@@ -235,13 +235,13 @@
     const auto* reply = answer ? std::get_if<Daemons::StatusReply>(&*answer) : nullptr;
     if (!reply)
       co_return;
-    known_state[vm] = reply->state_version;
+    known_state_version[vm] = reply->state_version;
     known_incarnation[vm] = incarnation;
     for (const Daemons::ServerStatus& status : reply->servers)
       board.Update(status, Now());
   }
 
-  Task<Daemons::Reply> Answer(Daemons::Call call)
+  Task<Daemons::Reply> HandleCall(Daemons::Call call)
   {
     if (auto* load = std::get_if<Daemons::LoadRequest>(&call))
       co_return co_await home.EnsureLoaded(std::move(*load));
@@ -259,7 +259,7 @@
     co_return keeper.Statuses();
   }
 
-  Task<void> FollowVmList()
+  Task<void> PollVmList()
   {
     while (true)
     {
@@ -270,11 +270,11 @@
         board.SetListed(*entries, Now());
       }
       const auto peers = static_cast<std::int64_t>(membership.Peers().size());
-      co_await Common::Sleep{std::max(VM_LIST_INTERVAL, VM_LIST_SHARE * peers)};
+      co_await Common::Sleep{std::max(VM_LIST_INTERVAL, VM_LIST_INTERVAL_PER_PEER * peers)};
     }
   }
 
-  Task<void> KeepRolesCurrent()
+  Task<void> RebalancePeriodically()
   {
     while (true)
     {
@@ -323,7 +323,7 @@
     operators->Register(operators_server);
   }
 
-  void WatchSignals()
+  void RegisterSignalHandlers()
   {
     const auto stop = [](gpointer data) -> gboolean {
       auto* self = static_cast<Impl*>(data);
--- a/Source/Core/Daemon/Settings.cpp
+++ b/Source/Core/Daemon/Settings.cpp
@@ -84,7 +84,7 @@
     else if (environment)
       value = environment;
     else if (!definition->default_value)
-      Fail(name, "is missing");
+      AddError(name, "is missing");
     m_out.effective.emplace_back(name, value);
     return value;
   }
@@ -96,8 +96,8 @@
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (error != std::errc() || end != text.data() + text.size() || number < lowest ||
         number > highest)
-      Fail(name, "expected a whole number from " + std::to_string(lowest) + " to " +
-                     std::to_string(highest) + ", not \"" + text + "\"");
+      AddError(name, "expected a whole number from " + std::to_string(lowest) + " to " +
+                         std::to_string(highest) + ", not \"" + text + "\"");
     return number;
   }
 
@@ -108,7 +108,7 @@
     const std::string text = Text(name);
     Endpoint endpoint;
     if (!text.empty() && !ParseEndpoint(text, &endpoint))
-      Fail(name, "expected IP:port, not \"" + text + "\"");
+      AddError(name, "expected IP:port, not \"" + text + "\"");
     return endpoint;
   }
 
@@ -116,7 +116,7 @@
   {
     std::string text = Text(name);
     if (text != first && text != second)
-      Fail(name, "expected " + first + " or " + second + ", not \"" + text + "\"");
+      AddError(name, "expected " + first + " or " + second + ", not \"" + text + "\"");
     return text;
   }
 
@@ -130,18 +130,18 @@
       const auto equals = item.find('=');
       Endpoint endpoint;
       if (equals == std::string::npos || !ParseEndpoint(item.substr(equals + 1), &endpoint))
-        Fail(name, "expected VM=IP:port, not \"" + item + "\"");
+        AddError(name, "expected VM=IP:port, not \"" + item + "\"");
       else
         seeds.emplace_back(Common::VmId(item.substr(0, equals)), item.substr(equals + 1));
     }
     return seeds;
   }
 
-  void Without(const std::string& name)
+  void DisableListedMechanisms(const std::string& name)
   {
-    const auto switched = Common::DisableMechanisms(Text(name));
-    if (!switched)
-      Fail(name, switched.Reason().detail);
+    const auto disabled = Common::DisableMechanisms(Text(name));
+    if (!disabled)
+      AddError(name, disabled.Reason().detail);
   }
 
   /// Reads the key from the file if one is set, otherwise from DRUMPOND_PEER_KEY.
@@ -154,16 +154,16 @@
     {
       std::ifstream file(path);
       if (!std::getline(file, key))
-        Fail("peer-key-file", "cannot read \"" + path + "\"");
+        AddError("peer-key-file", "cannot read \"" + path + "\"");
     }
-    if (key.size() < MIN_KEY)
-      Fail("peer-key-file", "expected a key of at least 16 characters, from the file or "
-                            "DRUMPOND_PEER_KEY");
+    if (key.size() < MIN_KEY_LENGTH)
+      AddError("peer-key-file", "expected a key of at least 16 characters, from the file or "
+                                "DRUMPOND_PEER_KEY");
     return key;
   }
 
 private:
-  static constexpr std::size_t MIN_KEY = 16;
+  static constexpr std::size_t MIN_KEY_LENGTH = 16;
 
   static bool ParseEndpoint(const std::string& text, Endpoint* endpoint)
   {
@@ -178,7 +178,7 @@
            endpoint->port < 65536 && g_hostname_is_ip_address(endpoint->address.c_str());
   }
 
-  void Fail(const std::string& name, const std::string& message)
+  void AddError(const std::string& name, const std::string& message)
   {
     m_out.errors.push_back("--" + name + " (" + EnvironmentName(name) + "): " + message);
   }
@@ -214,14 +214,14 @@
   settings.seeds = reader.Seeds("seeds");
   settings.peer_key = reader.PeerKey();
   settings.operator_tokens_file = reader.Text("operator-tokens-file");
-  settings.heartbeat = reader.Duration("heartbeat-ms");
+  settings.heartbeat_interval = reader.Duration("heartbeat-ms");
   settings.dead_after = reader.Duration("dead-after-ms");
   settings.list_lag = reader.Duration("list-lag-ms");
-  settings.table_poll = reader.Duration("table-poll-ms");
+  settings.table_poll_interval = reader.Duration("table-poll-ms");
   settings.report_interval = reader.Duration("report-ms");
   settings.order_settle = reader.Duration("order-settle-ms");
   settings.freeze_limit = reader.Duration("freeze-limit-ms");
-  settings.job_scan = reader.Duration("job-scan-ms");
+  settings.job_scan_interval = reader.Duration("job-scan-ms");
   settings.stop_notice = reader.Duration("stop-notice-ms");
   settings.stop_limit = reader.Duration("stop-limit-ms");
   settings.max_body_kb = reader.Number("max-body-kb", 1, 1048576);
@@ -231,7 +231,7 @@
   settings.routing = reader.Choice("routing", "affinity", "round-robin");
   settings.queue = reader.Choice("queue", "fair", "fifo");
   settings.load_order = reader.Choice("load-order", "urgency", "fifo");
-  reader.Without("without");
+  reader.DisableListedMechanisms("without");
 }
 } // namespace
 
--- a/Source/Core/Daemon/Settings.h
+++ b/Source/Core/Daemon/Settings.h
@@ -31,14 +31,14 @@
   std::vector<std::pair<Common::VmId, std::string>> seeds;
   std::string peer_key;
   std::string operator_tokens_file;
-  Common::Milliseconds heartbeat{250};
+  Common::Milliseconds heartbeat_interval{250};
   Common::Milliseconds dead_after{1500};
   Common::Milliseconds list_lag{30000};
-  Common::Milliseconds table_poll{1000};
+  Common::Milliseconds table_poll_interval{1000};
   Common::Milliseconds report_interval{300};
   Common::Milliseconds order_settle{20000};
   Common::Milliseconds freeze_limit{1000};
-  Common::Milliseconds job_scan{2000};
+  Common::Milliseconds job_scan_interval{2000};
   Common::Milliseconds stop_notice{500};
   Common::Milliseconds stop_limit{30000};
   std::int64_t max_body_kb = 4096;
