--- a/Source/Core/Daemons/Messages.h
+++ b/Source/Core/Daemons/Messages.h
@@ -67,7 +67,7 @@
   }
 };
 
-/// State of a backend server as known by its keeper, the daemon that manages it.
+/// Status of a backend server, as known to the daemon that manages it.
 struct ServerStatus
 {
   Common::VmId vm;
@@ -93,7 +93,7 @@
   }
 };
 
-/// From an entry daemon to the home of a model: requests that the model be loaded.
+/// Entry daemon to the load coordinator of an artifact: make sure that a server serves it.
 struct LoadRequest
 {
   Common::ArtifactId artifact;
@@ -109,7 +109,7 @@
   }
 };
 
-/// The home's reply: the backend server of the model, or why it was not loaded.
+/// Response of the load coordinator: the server of the artifact, or why there is none.
 struct LoadReply
 {
   Common::FailureKind failure = Common::FailureKind::None;
@@ -124,8 +124,8 @@
   }
 };
 
-/// From a model's home to the keeper of a backend server: release these claims, then claim and
-/// load.
+/// Load coordinator to the daemon that manages a backend server: release these claims, then claim
+/// and load.
 struct PlaceOrder
 {
   Common::VmId server;
@@ -141,8 +141,8 @@
   }
 };
 
-/// The keeper's reply. `holders` lists the backend servers that hold the existing claims if all
-/// slots of the artifact are already claimed.
+/// Response of the managing daemon. `holders` names the backend servers where all slots are claimed
+/// already.
 struct PlaceReply
 {
   Common::FailureKind failure = Common::FailureKind::None;
@@ -156,7 +156,7 @@
   }
 };
 
-/// Requests the status of the backend servers of which the peer is the keeper.
+/// Requests the status of the backend servers that the peer manages.
 struct StatusPull
 {
   template <typename Archive>
@@ -204,8 +204,8 @@
   }
 };
 
-/// From a keeper to the daemon that limits the load on the weight store: requests a permit to start
-/// one load from it.
+/// Managing daemon to the daemon that grants the permits for the weight store: requests a permit
+/// for one load.
 struct PermitRequest
 {
   Common::ClaimId claim;
--- a/Source/Core/Serving/LoadPacer.h
+++ b/Source/Core/Serving/LoadPermitAllocator.h
@@ -12,13 +12,15 @@
 
 namespace Serving
 {
-/// Gives the turns at the weight store: so many loads at once as run at full speed, and so many
-/// starts a second as it allows. Hashing makes one daemon the pacer of all; two of them at once
-/// (regions cut off from each other) only make loads slower, never wrong.
-class LoadPacer
+/// Grants permits for loads from the weight store. Limits the number of concurrent loads, so that
+/// each runs at full speed, and the number of starts per second to what the store allows.
+/// Rendezvous hashing picks one daemon that grants the permits for all daemons. Two at once, during
+/// a network partition between regions, only slow the loads down; correctness does not depend on
+/// it.
+class LoadPermitAllocator
 {
 public:
-  explicit LoadPacer(Environment& environment) : m_environment(environment) {}
+  explicit LoadPermitAllocator(Environment& environment) : m_environment(environment) {}
 
   Common::Task<Daemons::PermitReply> Request(Daemons::PermitRequest request);
   void Return(const Common::ClaimId& claim);
@@ -29,7 +31,7 @@
   struct Waiter
   {
     Decisions::WaitingLoad load;
-    Common::Completion<bool> turn;
+    Common::Completion<bool> permit;
   };
 
   void Dispatch();
