--- a/Source/Core/Daemon/Application.cpp
+++ b/Source/Core/Daemon/Application.cpp
@@ -34,7 +34,7 @@
 constexpr Milliseconds PLATFORM_TIMEOUT{1000};
 constexpr Milliseconds VM_LIST_INTERVAL{500};
 /// Read interval of the platform's VM list per peer: the interval grows with the number of daemons,
-/// so that together they make at most 200 reads a second.
+/// so that together they make about 200 reads a second at most.
 constexpr Milliseconds VM_LIST_INTERVAL_PER_PEER{5};
 constexpr Milliseconds REBALANCE_INTERVAL{100};
 constexpr Milliseconds STOP_POLL{20};
@@ -344,9 +344,9 @@
         this);
   }
 
-  /// Graceful shutdown: tells the load balancer and the peers that this daemon is leaving, so that
-  /// its roles move to other daemons, waits for open requests and jobs up to the stop limit, and
-  /// ends the main loop.
+  /// Graceful shutdown: announces to the load balancer and the peers that this daemon leaves, so
+  /// that its roles move to other daemons, waits for open requests and jobs up to the stop limit,
+  /// and ends the main loop.
   Task<void> Stop()
   {
     LogEvent(LogLevel::Info, "daemon.stopping", {{"open", callers_server.OpenExchanges()}});
