--- a/Source/Core/Daemon/Settings.cpp
+++ b/Source/Core/Daemon/Settings.cpp
@@ -24,7 +24,7 @@
 struct Definition
 {
   const char* name;
-  const char* default_value; ///< nullptr: must be set.
+  const char* default_value; ///< nullptr if the setting is required.
   const char* help;
 };
 
@@ -35,27 +35,27 @@
     {"operators", nullptr, "IP:port for operators, probes and metrics"},
     {"peers-listen", nullptr, "IP:port for the other daemons (UDP and TCP)"},
     {"platform", nullptr, "URL of the platform's services"},
-    {"seeds", "", "other daemons known beforehand: VM=IP:port,..."},
-    {"peer-key-file", "", "file with the key that all daemons share (or DRUMPOND_PEER_KEY)"},
+    {"seeds", "", "initially known daemons: VM=IP:port,..."},
+    {"peer-key-file", "", "file with the key shared by all daemons (or DRUMPOND_PEER_KEY)"},
     {"operator-tokens-file", "", "file with lines ROLE:TOKEN; ROLE is viewer or editor"},
     {"heartbeat-ms", "250", "interval of heartbeats"},
-    {"dead-after-ms", "1500", "silence after which a daemon has no roles"},
-    {"list-lag-ms", "30000", "the longest time by which the platform's list is late"},
-    {"table-poll-ms", "1000", "interval of looking for a new table revision"},
+    {"dead-after-ms", "1500", "time without heartbeats after which a daemon loses its roles"},
+    {"list-lag-ms", "30000", "maximum delay of the platform's VM list"},
+    {"table-poll-ms", "1000", "interval of polling for a new table revision"},
     {"report-ms", "300", "interval of the engines' reports"},
-    {"order-settle-ms", "20000", "quarantine of an order of unknown outcome"},
+    {"order-settle-ms", "20000", "quarantine time of an order of unknown outcome"},
     {"freeze-limit-ms", "1000", "pause after which a claim is validated again"},
-    {"job-scan-ms", "2000", "interval of looking for jobs that nobody runs"},
-    {"stop-notice-ms", "500", "time for the balancer to see that this daemon stops"},
-    {"stop-limit-ms", "30000", "longest time for requests to finish on a stop"},
-    {"max-body-kb", "4096", "largest request body"},
+    {"job-scan-ms", "2000", "interval of scanning for jobs that no daemon runs"},
+    {"stop-notice-ms", "500", "time for the load balancer to detect that this daemon is stopping"},
+    {"stop-limit-ms", "30000", "maximum time for requests to finish during a shutdown"},
+    {"max-body-kb", "4096", "maximum request body size in KiB"},
     {"placement", "cache-aware", "placement policy: cache-aware or first-fit"},
     {"retention", "cost", "retention policy: cost or keep-alive"},
     {"keep-alive-ms", "60000", "for keep-alive: time until an idle model is unloaded"},
     {"routing", "affinity", "routing policy: affinity or round-robin"},
     {"queue", "fair", "queue policy: fair or fifo"},
     {"load-order", "urgency", "order of loads: urgency or fifo"},
-    {"without", "", "mechanisms to switch off, to measure what they are worth: NAME,..."},
+    {"without", "", "mechanisms to disable, to measure their effect: NAME,..."},
 }};
 
 std::string EnvironmentName(const std::string& name)
@@ -66,7 +66,7 @@
   return variable;
 }
 
-/// Reads values one by one and collects what is wrong.
+/// Reads and validates individual settings and collects the errors.
 class Reader
 {
 public:
@@ -84,7 +84,7 @@
     else if (environment)
       value = environment;
     else if (!definition->default_value)
-      Fail(name, "is missing");
+      AddError(name, "is missing");
     m_out.effective.emplace_back(name, value);
     return value;
   }
@@ -96,8 +96,8 @@
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
     if (error != std::errc() || end != text.data() + text.size() || number < lowest ||
         number > highest)
-      Fail(name, "expected a whole number from " + std::to_string(lowest) + " to " +
-                     std::to_string(highest) + ", not \"" + text + "\"");
+      AddError(name, "expected a whole number from " + std::to_string(lowest) + " to " +
+                         std::to_string(highest) + ", not \"" + text + "\"");
     return number;
   }
 
@@ -108,7 +108,7 @@
     const std::string text = Text(name);
     Endpoint endpoint;
     if (!text.empty() && !ParseEndpoint(text, &endpoint))
-      Fail(name, "expected IP:port, not \"" + text + "\"");
+      AddError(name, "expected IP:port, not \"" + text + "\"");
     return endpoint;
   }
 
@@ -116,7 +116,7 @@
   {
     std::string text = Text(name);
     if (text != first && text != second)
-      Fail(name, "expected " + first + " or " + second + ", not \"" + text + "\"");
+      AddError(name, "expected " + first + " or " + second + ", not \"" + text + "\"");
     return text;
   }
 
@@ -130,21 +130,21 @@
       const auto equals = item.find('=');
       Endpoint endpoint;
       if (equals == std::string::npos || !ParseEndpoint(item.substr(equals + 1), &endpoint))
-        Fail(name, "expected VM=IP:port, not \"" + item + "\"");
+        AddError(name, "expected VM=IP:port, not \"" + item + "\"");
       else
         seeds.emplace_back(Common::VmId(item.substr(0, equals)), item.substr(equals + 1));
     }
     return seeds;
   }
 
-  void Without(const std::string& name)
+  void DisableListedMechanisms(const std::string& name)
   {
-    const auto switched = Common::SwitchOff(Text(name));
-    if (!switched)
-      Fail(name, switched.Reason().detail);
+    const auto disabled = Common::DisableMechanisms(Text(name));
+    if (!disabled)
+      AddError(name, disabled.Reason().detail);
   }
 
-  /// From the variable DRUMPOND_PEER_KEY or from the file.
+  /// Reads the key from the file if one is set, otherwise from DRUMPOND_PEER_KEY.
   std::string PeerKey()
   {
     const std::string path = Text("peer-key-file");
@@ -154,16 +154,16 @@
     {
       std::ifstream file(path);
       if (!std::getline(file, key))
-        Fail("peer-key-file", "cannot read \"" + path + "\"");
+        AddError("peer-key-file", "cannot read \"" + path + "\"");
     }
-    if (key.size() < MIN_KEY)
-      Fail("peer-key-file", "expected a key of at least 16 characters, from the file or "
-                            "DRUMPOND_PEER_KEY");
+    if (key.size() < MIN_KEY_LENGTH)
+      AddError("peer-key-file", "expected a key of at least 16 characters, from the file or "
+                                "DRUMPOND_PEER_KEY");
     return key;
   }
 
 private:
-  static constexpr std::size_t MIN_KEY = 16;
+  static constexpr std::size_t MIN_KEY_LENGTH = 16;
 
   static bool ParseEndpoint(const std::string& text, Endpoint* endpoint)
   {
@@ -178,7 +178,7 @@
            endpoint->port < 65536 && g_hostname_is_ip_address(endpoint->address.c_str());
   }
 
-  void Fail(const std::string& name, const std::string& message)
+  void AddError(const std::string& name, const std::string& message)
   {
     m_out.errors.push_back("--" + name + " (" + EnvironmentName(name) + "): " + message);
   }
@@ -198,7 +198,7 @@
       help += std::string(" [") + definition.default_value + "]";
     options.add_options()(definition.name, help, cxxopts::value<std::string>());
   }
-  options.add_options()("print-settings", "print the settings in force and exit")(
+  options.add_options()("print-settings", "print the effective settings and exit")(
       "help", "print this text and exit")("version", "print the version and exit");
   return options;
 }
@@ -214,14 +214,14 @@
   settings.seeds = reader.Seeds("seeds");
   settings.peer_key = reader.PeerKey();
   settings.operator_tokens_file = reader.Text("operator-tokens-file");
-  settings.heartbeat = reader.Duration("heartbeat-ms");
+  settings.heartbeat_interval = reader.Duration("heartbeat-ms");
   settings.dead_after = reader.Duration("dead-after-ms");
   settings.list_lag = reader.Duration("list-lag-ms");
-  settings.table_poll = reader.Duration("table-poll-ms");
+  settings.table_poll_interval = reader.Duration("table-poll-ms");
   settings.report_interval = reader.Duration("report-ms");
   settings.order_settle = reader.Duration("order-settle-ms");
   settings.freeze_limit = reader.Duration("freeze-limit-ms");
-  settings.job_scan = reader.Duration("job-scan-ms");
+  settings.job_scan_interval = reader.Duration("job-scan-ms");
   settings.stop_notice = reader.Duration("stop-notice-ms");
   settings.stop_limit = reader.Duration("stop-limit-ms");
   settings.max_body_kb = reader.Number("max-body-kb", 1, 1048576);
@@ -231,7 +231,7 @@
   settings.routing = reader.Choice("routing", "affinity", "round-robin");
   settings.queue = reader.Choice("queue", "fair", "fifo");
   settings.load_order = reader.Choice("load-order", "urgency", "fifo");
-  reader.Without("without");
+  reader.DisableListedMechanisms("without");
 }
 } // namespace
 
--- a/Source/Core/Daemons/Link.cpp
+++ b/Source/Core/Daemons/Link.cpp
@@ -8,8 +8,8 @@
 #include <gio/gio.h>
 
 #include "Daemons/Codec.h"
+#include "Daemons/MessageAuthentication.h"
 #include "Daemons/PeerConnection.h"
-#include "Daemons/Seal.h"
 #include "Http/GioAwait.h"
 
 namespace Daemons
@@ -27,10 +27,11 @@
 using Http::GRef;
 
 constexpr std::size_t MAX_DATAGRAM_BYTES = 1400;
-/// Rough size of a heartbeat on the wire, with IP and UDP headers.
+/// Approximate size of a heartbeat on the wire, including the IP and UDP headers.
 constexpr std::int64_t HEARTBEAT_WIRE_BYTES = 200;
 
-/// Roles depend on the daemons of one's own data centre; those of the others need less attention.
+/// Roles are assigned among the daemons of the same data centre, so peers in other data centres get
+/// a smaller share of the heartbeat traffic.
 enum class Scope
 {
   Local,
@@ -41,7 +42,7 @@
 
 using Pending = std::map<std::int64_t, Completion<Result<Reply>>>;
 
-/// The connection that this daemon opened to a peer, with the calls that wait on it.
+/// The connection that this daemon opened to a peer, and the calls awaiting a reply on it.
 struct Outbound
 {
   std::shared_ptr<PeerConnection> connection;
@@ -77,7 +78,7 @@
   std::map<VmId, Outbound> outbound;
   std::map<VmId, std::shared_ptr<Completion<bool>>> connecting;
   std::int64_t next_call = 1;
-  bool announced = false;
+  bool heartbeats_scheduled = false;
 
   Result<Done> OpenUdp()
   {
@@ -126,7 +127,7 @@
 
   static Failure TakeError(GError* error)
   {
-    Failure failure{FailureKind::Unavailable, error ? error->message : "unknown"};
+    Failure failure{FailureKind::Unavailable, error ? error->message : "unknown socket error"};
     g_clear_error(&error);
     return failure;
   }
@@ -141,13 +142,13 @@
       if (size < 0)
         return;
       counters.bytes_received += size;
-      TakeDatagram(std::string_view(buffer.data(), static_cast<std::size_t>(size)));
+      HandleDatagram(std::string_view(buffer.data(), static_cast<std::size_t>(size)));
     }
   }
 
-  void TakeDatagram(std::string_view datagram)
+  void HandleDatagram(std::string_view datagram)
   {
-    const auto payload = OpenDatagram(settings.key, datagram);
+    const auto payload = VerifyDatagram(settings.key, datagram);
     if (!payload)
     {
       ++counters.rejected;
@@ -164,11 +165,13 @@
       on_heartbeat(*heartbeat);
   }
 
-  /// A peer that was never heard of may be near: it is treated so until it answers.
+  /// A peer may be in this data centre until its first heartbeat shows where it is, so it is
+  /// treated as local until then.
   Scope ScopeOf(const Membership::Peer& peer) const
   {
-    const bool far = peer.heard && peer.last.data_centre != membership.Self().data_centre;
-    return far ? Scope::Remote : Scope::Local;
+    const bool is_remote =
+        peer.has_heartbeat && peer.last_heartbeat.data_centre != membership.Self().data_centre;
+    return is_remote ? Scope::Remote : Scope::Local;
   }
 
   Milliseconds Interval(Scope scope) const
@@ -187,7 +190,7 @@
   {
     ++membership.Self().sequence;
     membership.Self().interval_ms = Interval(scope).count();
-    const std::string datagram = SealDatagram(settings.key, Encode(membership.Self()));
+    const std::string datagram = SignDatagram(settings.key, Encode(membership.Self()));
     for (const auto& [vm, peer] : membership.Peers())
     {
       if (peer.retired || peer.address.empty() || ScopeOf(peer) != scope)
@@ -202,9 +205,10 @@
     }
   }
 
-  /// A frozen or cut-off peer closes nothing: its silence ends the calls that wait for it, so that
-  /// they can go to the one that takes its roles over.
-  void GiveUpSilentPeers()
+  /// A frozen or partitioned peer does not close its connections. Closes them here once its
+  /// heartbeats stop, so that pending calls fail and can go to the daemon that takes over its
+  /// roles.
+  void CloseConnectionsToDeadPeers()
   {
     const auto now = Common::Now();
     for (auto& [vm, out] : outbound)
@@ -214,14 +218,14 @@
 
   void Tick(Scope scope)
   {
-    GiveUpSilentPeers();
+    CloseConnectionsToDeadPeers();
     SendHeartbeats(scope);
     Common::CallAfter(Interval(scope), [this, scope] {
       Tick(scope);
     });
   }
 
-  /// Serves the calls that a peer sends on a connection that it opened.
+  /// Serves the calls on a connection that a peer opened.
   Task<void> ServeConnection(GRef<GSocketConnection> raw)
   {
     auto connection = std::make_shared<PeerConnection>(std::move(raw), settings.key,
@@ -266,8 +270,8 @@
     connection.Send(std::move(bytes));
   }
 
-  /// The open connection to a peer; opens one where there is none. Callers that come while it is
-  /// being opened wait for the same one.
+  /// Opens a connection to a peer unless there is one. Concurrent callers wait for the same
+  /// connection attempt. Returns whether the peer is connected.
   Task<bool> EnsureConnected(VmId vm, std::string address)
   {
     if (outbound[vm].connection && outbound[vm].connection->IsOpen())
@@ -293,7 +297,7 @@
       co_return false;
     const GRef<GSocketClient> client(g_socket_client_new());
     const GRef<GCancellable> cancellable(g_cancellable_new());
-    const Common::CallId guard = Common::CallAfter(CONNECT_TIMEOUT, [cancellable] {
+    const Common::CallId connect_timer = Common::CallAfter(CONNECT_TIMEOUT, [cancellable] {
       g_cancellable_cancel(cancellable.Get());
     });
     Http::GioAwait await;
@@ -301,19 +305,19 @@
                                   cancellable.Get(), Http::GioAwait::Ready, &await);
     co_await await;
     if (!g_cancellable_is_cancelled(cancellable.Get()))
-      Common::CancelCall(guard);
+      Common::CancelCall(connect_timer);
     GRef<GSocketConnection> raw(g_socket_client_connect_finish(client.Get(), await.Get(), nullptr));
     if (!raw)
       co_return false;
     auto connection = std::make_shared<PeerConnection>(std::move(raw), settings.key,
                                                        PeerConnection::Side::Connecting);
-    const Common::CallId patience = Common::CallAfter(CONNECT_TIMEOUT, [connection] {
+    const Common::CallId handshake_timer = Common::CallAfter(CONNECT_TIMEOUT, [connection] {
       connection->Close();
     });
     const bool ready = co_await connection->Handshake();
     if (!connection->IsOpen())
       co_return false;
-    Common::CancelCall(patience);
+    Common::CancelCall(handshake_timer);
     if (!ready)
       co_return false;
     outbound[vm].connection = connection;
@@ -337,7 +341,7 @@
       }
       Pending& pending = outbound[vm].pending;
       const auto found = pending.find(envelope->call_id);
-      // A reply that came after its call was given up is dropped here.
+      // The call has timed out: drop its late reply.
       if (found == pending.end())
         continue;
       found->second.Set(std::move(std::get<Reply>(envelope->body)));
@@ -347,10 +351,11 @@
     if (outbound[vm].connection != connection)
       co_return;
     for (auto& [id, completion] : std::exchange(outbound[vm].pending, {}))
-      completion.Set(Failure{FailureKind::OutcomeUnknown, "the connection to the peer ended"});
+      completion.Set(Failure{FailureKind::OutcomeUnknown,
+                             "the connection to the peer was closed before its reply"});
   }
 
-  Task<Result<Reply>> Ask(VmId vm, Call call, Milliseconds timeout)
+  Task<Result<Reply>> SendCall(VmId vm, Call call, Milliseconds timeout)
   {
     if (vm == membership.Self().vm)
     {
@@ -359,12 +364,12 @@
     }
     const Membership::Peer* peer = membership.Find(vm);
     if (!peer || peer->address.empty())
-      co_return Failure{FailureKind::NotSent, "no address of " + vm.Get()};
+      co_return Failure{FailureKind::NotSent, "no known address for " + vm.Get()};
     const std::string address = peer->address;
     const auto deadline = Common::Now() + timeout;
     const bool connected = co_await EnsureConnected(vm, address);
     if (!connected)
-      co_return Failure{FailureKind::NotSent, "no connection to " + vm.Get()};
+      co_return Failure{FailureKind::NotSent, "could not connect to " + vm.Get()};
     Outbound& out = outbound[vm];
     const std::int64_t id = next_call++;
     Completion<Result<Reply>> completion;
@@ -401,7 +406,7 @@
 
 Result<Done> Link::Start()
 {
-  // TCP first: binding it proves that no earlier process of this VM still runs.
+  // TCP first: the bind succeeds only if no earlier daemon process of this VM still runs.
   auto tcp = m_impl->OpenTcp();
   if (!tcp)
     return tcp;
@@ -413,17 +418,17 @@
   return Done{};
 }
 
-Task<Result<Reply>> Link::Ask(VmId vm, Call call, Milliseconds timeout)
+Task<Result<Reply>> Link::SendCall(VmId vm, Call call, Milliseconds timeout)
 {
-  return m_impl->Ask(std::move(vm), std::move(call), timeout);
+  return m_impl->SendCall(std::move(vm), std::move(call), timeout);
 }
 
-void Link::Announce()
+void Link::ScheduleHeartbeats()
 {
-  if (std::exchange(m_impl->announced, true))
+  if (std::exchange(m_impl->heartbeats_scheduled, true))
     return;
   Common::CallAfter(Milliseconds(1), [impl = m_impl.get()] {
-    impl->announced = false;
+    impl->heartbeats_scheduled = false;
     impl->SendHeartbeats(Scope::Local);
     impl->SendHeartbeats(Scope::Remote);
   });
--- a/Source/Core/Daemons/Messages.h
+++ b/Source/Core/Daemons/Messages.h
@@ -12,23 +12,24 @@
 #include "Common/Units.h"
 #include "Table/Change.h"
 
-/// What daemons say to each other. A change of any field is a new PROTOCOL_VERSION.
+/// Messages between daemons. Any change of a field requires a new PROTOCOL_VERSION.
 namespace Daemons
 {
 constexpr std::uint8_t PROTOCOL_VERSION = 1;
 
-/// Sent by UDP to every other daemon; says who is there and whether there is news to pull.
+/// Sent over UDP to every other daemon: shows that the sender is alive, and by its versions whether
+/// there are changes to pull.
 struct Heartbeat
 {
   Common::VmId vm;
   Common::DataCentreId data_centre;
   Common::Incarnation incarnation;
-  std::int64_t started_ms = 0;  ///< Wall clock at the start: orders incarnations of one VM.
-  std::int64_t sequence = 0;    ///< Grows by one; an older one is dropped.
-  std::int64_t interval_ms = 0; ///< The next one to this receiver comes within this time.
+  std::int64_t started_ms = 0;  ///< Wall clock at startup; orders the incarnations of a VM.
+  std::int64_t sequence = 0;    ///< Increases with each one sent; older ones are dropped.
+  std::int64_t interval_ms = 0; ///< Time until the next heartbeat to this receiver.
   bool leaving = false;
   Common::Revision table_revision;
-  std::int64_t state_version = 0; ///< Of the sender's backend server states.
+  std::int64_t state_version = 0; ///< Version of the sender's backend server states.
 
   template <typename Archive>
   void serialize(Archive& archive)
@@ -40,9 +41,9 @@
 
 enum class ReplicaState : std::uint8_t
 {
-  Ordered,   ///< Claimed; its load order may be on its way.
+  Ordered,   ///< Claimed; the load order may still be in transit.
   Loaded,    ///< Serves requests.
-  Unloading, ///< Gets no new work.
+  Unloading, ///< Gets no new requests.
 };
 
 /// A claimed replica on a backend server.
@@ -55,7 +56,7 @@
   std::int64_t running = 0;
   std::int64_t idle_ms = 0;
   std::int64_t served = 0;
-  bool surplus = false; ///< Above the table's replicas: no new work.
+  bool surplus = false; ///< Exceeds the replica count of the table: gets no new requests.
 
   bool operator==(const ReplicaStatus&) const = default;
 
@@ -72,7 +73,7 @@
   Common::VmId vm;
   Common::VmId keeper;
   Common::Incarnation incarnation;
-  std::int64_t row_version = 0; ///< Of the platform's row; an older state never wins.
+  std::int64_t row_version = 0; ///< Version of the platform's row; an older state is never applied.
   bool ready = false;
   Common::MegaBytes capacity;
   Common::MegaBytes claimed;
@@ -97,14 +98,14 @@
 {
   Common::ArtifactId artifact;
   Common::RequestId request;
-  std::int64_t patience_ms = 0; ///< Until the deadline of the most urgent waiter.
+  std::int64_t patience_ms = 0; ///< Time until the earliest deadline of the waiting requests.
   std::int64_t waiting = 0;
-  bool more = false; ///< All loaded replicas are full.
+  bool additional_replica = false; ///< Requests another replica: all loaded ones are at capacity.
 
   template <typename Archive>
   void serialize(Archive& archive)
   {
-    archive(artifact, request, patience_ms, waiting, more);
+    archive(artifact, request, patience_ms, waiting, additional_replica);
   }
 };
 
@@ -155,7 +156,7 @@
   }
 };
 
-/// Asks a peer for the backend servers that it keeps.
+/// Requests the status of the backend servers that the peer manages.
 struct StatusPull
 {
   template <typename Archive>
@@ -176,19 +177,19 @@
   }
 };
 
-/// Asks a peer for the table from revision `have` on.
+/// Requests the changes of the table after revision `known_revision`.
 struct TablePull
 {
-  Common::Revision have;
+  Common::Revision known_revision;
 
   template <typename Archive>
   void serialize(Archive& archive)
   {
-    archive(have);
+    archive(known_revision);
   }
 };
 
-/// The changes from `have` on where the peer still holds them, otherwise the whole table.
+/// The changes after `known_revision` if the peer still has them, otherwise the whole table.
 struct TableReply
 {
   Common::Revision revision;
@@ -231,7 +232,7 @@
   }
 };
 
-/// The load that had the permit is over.
+/// Returns the permit of a load that has ended.
 struct PermitReturn
 {
   Common::ClaimId claim;
@@ -247,7 +248,7 @@
     std::variant<LoadRequest, PlaceOrder, StatusPull, TablePull, PermitRequest, PermitReturn>;
 using Reply = std::variant<LoadReply, PlaceReply, StatusReply, TableReply, PermitReply>;
 
-/// One message on a TCP connection between daemons; replies carry the number of their call.
+/// A message on a TCP connection between daemons. A reply has the call_id of its call.
 struct Envelope
 {
   std::int64_t call_id = 0;
@@ -260,7 +261,7 @@
   }
 };
 
-/// The first message of a TCP connection.
+/// Identifies the sender of a TCP connection, as its first message. Link does not send it.
 struct Hello
 {
   Common::VmId vm;
--- a/Source/Core/Serving/LoadCoordinator.cpp
+++ b/Source/Core/Serving/LoadCoordinator.cpp
@@ -102,7 +102,7 @@
   const auto serving = std::ranges::find_if(loaded, [&](const VmId& vm) {
     return IsServing(m_environment, vm, artifact.id);
   });
-  if (serving != loaded.end() && !request.more)
+  if (serving != loaded.end() && !request.additional_replica)
     co_return ServedBy(*serving);
   const auto ordered = m_environment.server_statuses.With(artifact.id, ReplicaState::Ordered);
   const bool full = static_cast<std::int64_t>(loaded.size() + ordered.size()) >= artifact.replicas;
@@ -256,7 +256,7 @@
       co_await Common::Sleep{RETRY_PAUSE};
       continue;
     }
-    const auto answer = co_await m_environment.link.Ask(*manager, Daemons::Call(order), left);
+    const auto answer = co_await m_environment.link.SendCall(*manager, Daemons::Call(order), left);
     const auto* reply = answer ? std::get_if<PlaceReply>(&*answer) : nullptr;
     if (!reply)
     {
--- a/Source/Core/Serving/ServerController.cpp
+++ b/Source/Core/Serving/ServerController.cpp
@@ -170,7 +170,7 @@
   {
   case HolderStatus::Alive:
     return OrderStatus::HolderAlive;
-  case HolderStatus::Silent:
+  case HolderStatus::Unresponsive:
     return OrderStatus::HolderUnresponsive;
   case HolderStatus::Gone:
     return OrderStatus::HolderTerminated;
--- a/Source/Core/Serving/ServerControllerOrders.cpp
+++ b/Source/Core/Serving/ServerControllerOrders.cpp
@@ -428,7 +428,8 @@
   request.artifact = artifact.id;
   request.patience_ms = patience.count();
   request.weight = artifact.weight;
-  const auto reply = co_await m_environment.link.Ask(*allocator, Daemons::Call(request), patience);
+  const auto reply =
+      co_await m_environment.link.SendCall(*allocator, Daemons::Call(request), patience);
   if (!reply)
     co_return reply.Reason().kind != FailureKind::Timeout;
   const auto* permit = std::get_if<Daemons::PermitReply>(&*reply);
@@ -443,6 +444,7 @@
     return;
   Daemons::PermitReturn message;
   message.claim = claim;
-  Common::Spawn(m_environment.link.Ask(*allocator, Daemons::Call(message), PERMIT_RETURN_TIMEOUT));
+  Common::Spawn(
+      m_environment.link.SendCall(*allocator, Daemons::Call(message), PERMIT_RETURN_TIMEOUT));
 }
 } // namespace Serving
--- a/Source/UnitTests/Common/SuspendedVmTest.cpp
+++ b/Source/UnitTests/Common/SuspendedVmTest.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// A VM may be suspended for seconds. The steady clock does not count that time, so that a lease, a
-// proof, a deadline or a timer of before is believed for as long again: a holder whose lease had
-// run out for the others went on ordering, and a request was handed on with time that its caller no
-// longer had.
+// A VM may be suspended for seconds. std::steady_clock does not count that time, so leases, proofs,
+// deadlines and timers from before the suspension stayed valid for too long: a holder whose lease
+// had expired for the other daemons continued to issue orders, and a request was forwarded with
+// more time left than its caller still granted.
 
 #include <optional>
 #include <string_view>
@@ -25,8 +25,8 @@
 
 constexpr Milliseconds SUSPENDED{5000};
 
-/// How an exchange ended.
-class Breakages : public Http::AnswerEvents
+/// Records how an exchange failed.
+class BreakageRecorder : public Http::AnswerEvents
 {
 public:
   Verdict OnAnswerHead(Http::MessageHead&) override { return Verdict::Take; }
@@ -40,24 +40,25 @@
 class SuspendedVmTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(SuspendedVmTest);
-  CPPUNIT_TEST(AgesAndTimersCountTheTime);
-  CPPUNIT_TEST(ARequestDoesNotGoOutWithTheTimeOfBefore);
+  CPPUNIT_TEST(ClockAndTimersIncludeSuspension);
+  CPPUNIT_TEST(RequestIsNotSentAfterSuspensionExceedsItsDeadline);
   CPPUNIT_TEST_SUITE_END();
 
-  /// The connection is made while the VM is suspended, and known to be made before any timer runs.
-  void ARequestDoesNotGoOutWithTheTimeOfBefore()
+  /// The connection is established during the suspension, and its readiness event is handled before
+  /// any timer runs.
+  void RequestIsNotSentAfterSuspensionExceedsItsDeadline()
   {
     UnitTests::TestServer server([](auto&, const auto&) {});
-    Breakages breakages;
+    BreakageRecorder recorder;
     const auto connection = Http::OriginConnection::Connect(server.Address());
-    connection->Send("GET / HTTP/1.1\r\nLeft-Ms: 1500\r\n\r\n", &breakages);
+    connection->Send("GET / HTTP/1.1\r\nLeft-Ms: 1500\r\n\r\n", &recorder);
     SuspendVm(SUSPENDED);
     RunFor(Milliseconds(50));
-    CPPUNIT_ASSERT(breakages.last == Http::Breakage::ConnectTimedOut);
+    CPPUNIT_ASSERT(recorder.last == Http::Breakage::ConnectTimedOut);
     CPPUNIT_ASSERT(server.requests.empty());
   }
 
-  void AgesAndTimersCountTheTime()
+  void ClockAndTimersIncludeSuspension()
   {
     Accounts::KeyFreshness keys;
     keys.Configure(SUSPENDED);
