--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -104,7 +104,7 @@
   relay->Start();
 }
 
-void Dispatcher::Finished(Relay* relay)
+void Dispatcher::OnRelayFinished(Relay* relay)
 {
   const bool any_waiting = std::ranges::any_of(m_relays, [](const auto& entry) {
     return entry.second->IsWaiting();
@@ -227,7 +227,7 @@
   load.until_deadline = std::chrono::floor<Milliseconds>(relay.Deadline() - now);
   load.patience = patience;
   load.from_store = spec == nullptr ? Milliseconds(0) : spec->load_from_store;
-  std::vector<ServerPtr> slow_holders;
+  std::vector<ServerPtr> constrained_holders;
   std::optional<Decisions::WeightSource> nearest_unlimited;
   for (const auto& [instance, server] : m_servers.All())
   {
@@ -240,7 +240,7 @@
     if (holds && !must_wait)
       return std::nullopt;
     if (holds)
-      slow_holders.push_back(server);
+      constrained_holders.push_back(server);
     if (holds || spec == nullptr)
       continue;
     load.is_coming = load.is_coming || server->IsComing(model);
@@ -249,8 +249,8 @@
     if (!must_wait)
       nearest_unlimited = std::min(nearest_unlimited.value_or(source), source);
   }
-  if (!slow_holders.empty())
-    return CheckExpectedWait(slow_holders, load.is_coming, nearest_unlimited, longest_wait);
+  if (!constrained_holders.empty())
+    return CheckExpectedWait(constrained_holders, load.is_coming, nearest_unlimited, longest_wait);
   if (spec == nullptr)
     return std::nullopt;
   const auto until = Decisions::RefusedUntil(load);
--- a/Source/Core/Gateway/Dispatcher.h
+++ b/Source/Core/Gateway/Dispatcher.h
@@ -186,7 +186,7 @@
   void ReportDemand();
   /// Called when a request begins to wait for units of its account's limit.
   void ScheduleAllowanceRetry();
-  void Finished(Relay* relay);
+  void OnRelayFinished(Relay* relay);
 
 private:
   void DispatchWaiting();
--- a/Source/Core/Gateway/DispatcherLimits.cpp
+++ b/Source/Core/Gateway/DispatcherLimits.cpp
@@ -25,7 +25,7 @@
 /// The most servers that one daemon offers to probe at once.
 constexpr std::size_t MAX_PROBES = 8;
 /// Retries of callers that are refused because of a Retry-After are spread over this period.
-constexpr Milliseconds BACKOFF_RETURN_SPREAD{500};
+constexpr Milliseconds BACKOFF_RETRY_JITTER{500};
 } // namespace
 
 void Dispatcher::RecordBypass(const Server& server, Common::TimePoint now)
@@ -57,9 +57,9 @@
   if (!soonest->GetBackoff().IsNamed(now))
     return EarlyRefusal{m_limited.ComeBackAfter(*soonest, now),
                         "the queue for the servers' rate limits is too long", soonest};
-  const auto spread = Milliseconds(Common::SharedRandom()() % BACKOFF_RETURN_SPREAD.count());
+  const auto jitter = Milliseconds(Common::SharedRandom()() % BACKOFF_RETRY_JITTER.count());
   const auto retry_after =
-      std::max(soonest->GetBackoff().Left(now) + spread, m_limited.ComeBackAfter(*soonest, now));
+      std::max(soonest->GetBackoff().Left(now) + jitter, m_limited.ComeBackAfter(*soonest, now));
   return EarlyRefusal{retry_after, "the servers' Retry-After lasts too long", soonest};
 }
 
--- a/Source/Core/Gateway/Relay.cpp
+++ b/Source/Core/Gateway/Relay.cpp
@@ -155,7 +155,7 @@
   }
   m_route = *route;
   m_priority = m_route.priority;
-  if (!AdmitCaller(*configuration))
+  if (!AuthenticateCaller(*configuration))
     return;
   m_pool = PickPool(m_route.pools);
   m_patience = CallerPatience(m_route);
@@ -206,7 +206,7 @@
     AnswerIfBlocked();
 }
 
-void Relay::Begin()
+void Relay::FindServer()
 {
   m_dispatcher.NoteArrival(*this);
   TryDispatch();
@@ -259,10 +259,10 @@
       m_dispatcher.MustAwaitCrashCheck(*this) ? nullptr : m_dispatcher.ChooseServer(*this);
   if (!server)
   {
-    Wait();
+    WaitForServer();
     return;
   }
-  if (!KeyStillAllows())
+  if (!VerifyKey())
     return;
   const bool is_repeat = m_arrivals > 0;
   if (is_repeat && !m_dispatcher.Budget().Take(m_pool, Common::Now()))
@@ -298,7 +298,7 @@
   if (m_stream_begun)
     ++m_dispatcher.Counters().resumed;
   ++m_arrivals;
-  m_tried.insert(m_server->Entry().instance);
+  m_tried_servers.insert(m_server->Entry().instance);
   const HeaderNames& names = m_dispatcher.Settings().names;
   AddedHeaders added;
   added.time_left = TimeLeft();
@@ -489,7 +489,7 @@
       headers.push_back({"WWW-Authenticate", m_dispatcher.Settings().names.key});
     m_caller->Respond(status, Http::ReasonPhrase(status), headers, "");
   }
-  m_dispatcher.Finished(this);
+  m_dispatcher.OnRelayFinished(this);
 }
 
 std::string Relay::RetryAfter() const
@@ -497,11 +497,11 @@
   if (m_retry_after)
   {
     // Random spread, so that callers that were refused together do not retry together.
-    constexpr std::int64_t SPREAD = 10;
-    const auto spread = m_retry_after->count() / SPREAD + 1;
-    const auto extra =
-        static_cast<std::int64_t>(Common::SharedRandom()() % static_cast<std::uint64_t>(spread));
-    const std::int64_t tenths = (m_retry_after->count() + extra + 99) / 100;
+    constexpr std::int64_t JITTER_DIVISOR = 10;
+    const auto max_jitter = m_retry_after->count() / JITTER_DIVISOR + 1;
+    const auto jitter = static_cast<std::int64_t>(Common::SharedRandom()() %
+                                                  static_cast<std::uint64_t>(max_jitter));
+    const std::int64_t tenths = (m_retry_after->count() + jitter + 99) / 100;
     return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10);
   }
   const bool lacks_model =
--- a/Source/Core/Gateway/Relay.h
+++ b/Source/Core/Gateway/Relay.h
@@ -114,9 +114,9 @@
   static constexpr Common::Milliseconds MIN_STREAM_SILENCE{1000};
 
   /// Identifies the caller's account; false if the request has ended.
-  bool AdmitCaller(const Configuration& configuration);
+  bool AuthenticateCaller(const Configuration& configuration);
   /// Checks that the key is still valid; false if the request has ended.
-  bool KeyStillAllows();
+  bool VerifyKey();
   void Deny(int status, std::string_view why);
   /// Takes the units that the request costs from its account's limit and begins to send it;
   /// otherwise waits for units or refuses the request.
@@ -127,7 +127,7 @@
   /// Ends the request and returns true if it is blocked.
   bool AnswerIfBlocked();
   /// Looks for a server, after the account's limit has been checked.
-  void Begin();
+  void FindServer();
   /// The values of the key headers in the order in which they appear.
   std::vector<std::string_view> Keys() const;
   void ReadHeaders();
@@ -150,7 +150,7 @@
   bool MayTryAgain(bool may_have_run) const;
   /// True if the route allows the request to be sent to one more server.
   bool MayTryNewServer() const;
-  void Wait();
+  void WaitForServer();
   /// Ends the request and returns true if it cannot be served before its caller disconnects.
   bool RefuseEarly();
   void LogEarlyRefusal(const EarlyRefusal& refusal) const;
@@ -192,9 +192,10 @@
 
   ServerPtr m_server;
   std::shared_ptr<Http::OriginConnection> m_connection;
-  std::set<InstanceId> m_tried;
-  std::set<InstanceId> m_deferred_by; ///< Those of m_tried that rejected it with a Retry-After.
-  Common::TimePoint m_sent_at;        ///< To the current server.
+  std::set<InstanceId> m_tried_servers;
+  /// Those of m_tried_servers that rejected the request with a Retry-After.
+  std::set<InstanceId> m_deferred_by;
+  Common::TimePoint m_sent_at; ///< To the current server.
   /// When the response head of the current server arrived.
   std::optional<Common::TimePoint> m_answer_began_at;
   int m_arrivals = 0; ///< How often the request has reached, or may have reached, a server.
--- a/Source/Core/Gateway/RelayAdmission.cpp
+++ b/Source/Core/Gateway/RelayAdmission.cpp
@@ -31,7 +31,7 @@
 {
   if (!m_account_config || !m_account_config->limit.IsLimited())
   {
-    Begin();
+    FindServer();
     return;
   }
   m_cost = Accounts::CostOf(m_account_config->limit,
@@ -41,7 +41,7 @@
   if (verdict == Accounts::UsageVerdict::Taken)
   {
     m_charged = true;
-    Begin();
+    FindServer();
     return;
   }
   if (verdict != Accounts::UsageVerdict::Ask)
@@ -70,7 +70,7 @@
   m_wait_timer.Stop();
   m_dispatcher.Allowances().EndWait(m_account, m_cost);
   m_charged = true;
-  Begin();
+  FindServer();
 }
 
 void Relay::RefuseAllowance(Accounts::UsageVerdict verdict)
@@ -102,7 +102,7 @@
   return keys;
 }
 
-bool Relay::AdmitCaller(const Configuration& configuration)
+bool Relay::AuthenticateCaller(const Configuration& configuration)
 {
   const auto keys = Keys();
   const Accounts::Caller caller =
@@ -127,10 +127,10 @@
   m_account_config =
       std::shared_ptr<const Accounts::Account>(configuration.accounts, caller.account);
   m_priority = caller.account->priority.value_or(m_route.priority);
-  return KeyStillAllows();
+  return VerifyKey();
 }
 
-bool Relay::KeyStillAllows()
+bool Relay::VerifyKey()
 {
   if (m_account.Empty())
     return true;
--- a/Source/Core/Gateway/RelayAnswers.cpp
+++ b/Source/Core/Gateway/RelayAnswers.cpp
@@ -201,7 +201,7 @@
       m_dispatcher.GetCrashDetector().NoteRefused(m_server);
     }
     --m_arrivals;
-    m_tried.erase(m_server->Entry().instance);
+    m_tried_servers.erase(m_server->Entry().instance);
     AttemptFailed("could not connect to the server", m_may_have_run);
     return;
   }
--- a/Source/Core/Gateway/RelayWaiting.cpp
+++ b/Source/Core/Gateway/RelayWaiting.cpp
@@ -25,13 +25,13 @@
 constexpr double WAIT_SHARE_OF_DEADLINE = 0.45;
 } // namespace
 
-void Relay::Wait()
+void Relay::WaitForServer()
 {
   if (!MayTryNewServer() && !m_waiting)
   {
     // The route allows only the servers that were already tried, and none of them can serve it now.
     const auto now = Common::Now();
-    const bool any_usable = std::ranges::any_of(m_tried, [&](const InstanceId& instance) {
+    const bool any_usable = std::ranges::any_of(m_tried_servers, [&](const InstanceId& instance) {
       const ServerPtr server = m_dispatcher.Servers().Find(instance);
       return server && server->MayServe(m_artifact, now);
     });
@@ -110,12 +110,13 @@
 
 bool Relay::MayTryNewServer() const
 {
-  return static_cast<int>(m_tried.size()) < m_route.max_servers;
+  return static_cast<int>(m_tried_servers.size()) < m_route.max_servers;
 }
 
 bool Relay::MaySendTo(const InstanceId& instance) const
 {
-  return m_tried.contains(instance) != MayTryNewServer() || m_deferred_by.contains(instance);
+  return m_tried_servers.contains(instance) != MayTryNewServer() ||
+         m_deferred_by.contains(instance);
 }
 
 void Relay::WithdrawUnsent(const std::set<ServerPtr>& servers)
@@ -125,7 +126,7 @@
   const auto guard = shared_from_this();
   ++m_dispatcher.Counters().withdrawn;
   --m_arrivals;
-  m_tried.erase(m_server->Entry().instance);
+  m_tried_servers.erase(m_server->Entry().instance);
   AttemptFailed("the server sent a Retry-After before the request was sent", m_may_have_run);
 }
 
--- a/Source/UnitTests/Gateway/CallerKeysTest.cpp
+++ b/Source/UnitTests/Gateway/CallerKeysTest.cpp
@@ -61,7 +61,7 @@
   }
 
   /// Sets for how long a key may still be used after it has been revoked.
-  void LimitKeys(Milliseconds limit)
+  void SetKeyLimit(Milliseconds limit)
   {
     DispatcherSettings settings = dispatcher.Settings();
     settings.key_limit = limit;
@@ -254,7 +254,7 @@
   void WithoutAProofKeysAreRefusedAtOnceAndOpenRoutesServed()
   {
     KeysWorld world;
-    world.LimitKeys(KEY_LIMIT);
+    world.SetKeyLimit(KEY_LIMIT);
     TestServer server = Echo();
     world.AddServer("i-1", server.Address());
     const auto begin = Common::Now();
@@ -271,7 +271,7 @@
   void ExpiredProofStopsAWaitingRequest()
   {
     KeysWorld world;
-    world.LimitKeys(KEY_LIMIT);
+    world.SetKeyLimit(KEY_LIMIT);
     world.dispatcher.Keys().Prove(Common::Now());
     TestServer server = Echo();
     world.Ask(ONCE_PATH, "id-1", "Api-Key: secret-1\r\n");
@@ -285,7 +285,7 @@
   void KeysAreAcceptedAgainAfterANewProof()
   {
     KeysWorld world;
-    world.LimitKeys(KEY_LIMIT);
+    world.SetKeyLimit(KEY_LIMIT);
     TestServer server = Echo();
     world.AddServer("i-1", server.Address());
     world.Ask(PLAIN_PATH, "id-1", "Api-Key: secret-1\r\n");
