--- a/Source/Core/Serving/ServerController.h
+++ b/Source/Core/Serving/ServerController.h
@@ -51,7 +51,7 @@
   Common::Task<void> UnloadSurplusAndIdle();
   Common::Task<void> RaiseFence();
 
-  // Orders: ServerWatchOrders.cpp.
+  // Orders: ServerControllerOrders.cpp.
   Common::Task<Daemons::PlaceReply> PlaceOnce(Common::ArtifactId artifact,
                                               Daemons::PlaceOrder order);
   Common::Task<Daemons::PlaceReply> ClaimAndLoad(Table::Artifact artifact,
