--- a/Source/Tool/Commands.h
+++ b/Source/Tool/Commands.h
@@ -11,7 +11,7 @@
 
 namespace Tool
 {
-/// The command line after the command's words.
+/// Options of the command line, and the arguments that follow the command's name.
 struct Invocation
 {
   std::vector<std::string> arguments;
@@ -29,18 +29,19 @@
 /// One command of the tool.
 struct Command
 {
-  std::string words; ///< As typed: "table apply".
+  std::string words; ///< The command's name as typed, such as "table apply".
   std::string arguments;
   std::string help;
   std::string example;
-  std::size_t argument_count; ///< Or more, where the arguments end in "...".
+  /// Exact number of arguments; a minimum if `arguments` ends in "...".
+  std::size_t argument_count;
   ExitStatus (*run)(const Invocation&);
 };
 
-/// All commands, in the order of the help.
+/// Returns all commands, in the order in which the help lists them.
 const std::vector<Command>& Commands();
 
-/// Reports a failure on standard error and gives the exit status for it.
+/// Prints a failure to standard error and returns the matching exit status.
 ExitStatus Report(const Common::Failure& failure);
 
 ExitStatus TableCheck(const Invocation& invocation);
--- a/Source/Tool/InspectCommands.cpp
+++ b/Source/Tool/InspectCommands.cpp
@@ -19,7 +19,7 @@
 
 using Cells = std::vector<std::vector<std::string>>;
 
-/// Fetches the dump and prints one part of it, as JSON or in columns.
+/// Fetches the daemon's state and prints one section of it, as JSON or in columns.
 ExitStatus PrintPart(const Invocation& invocation, const char* part,
                      const std::vector<std::string>& heading, Cells (*rows_of)(const Json&))
 {
--- a/Source/Tool/LogCommands.cpp
+++ b/Source/Tool/LogCommands.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Commands that need no daemon: what the logs tell of a request, and whether a settings file is
-// sound.
+// Commands that read files and need no daemon: tracing a request through the logs, and validating a
+// settings file.
 
 #include <algorithm>
 #include <fstream>
@@ -20,10 +20,10 @@
 {
 namespace
 {
-/// Lines of other things are shown from so long before the request's first line on: a load from the
-/// weight store takes some seconds, and what kept a model away lies before the request.
+/// Related events are shown from this long before the request's first line. A load from the weight
+/// store takes several seconds, and the reason why a model was not loaded precedes the request.
 constexpr std::int64_t CONTEXT_BEFORE_MS = 10000;
-/// Length of "2026-12-02T16:00:00.000", by which lines sort.
+/// Length of a timestamp such as "2026-12-02T16:00:00.000", by which lines are sorted.
 constexpr std::size_t TIME_LENGTH = 23;
 
 struct LogLine
@@ -34,7 +34,7 @@
   std::string Time() const { return text.substr(0, TIME_LENGTH); }
 };
 
-/// The value of `key=value` or `key="value"` in a line.
+/// Returns the value of `key=value` or `key="value"` in a line, or an empty string.
 std::string FieldOf(const std::string& line, const std::string& key)
 {
   const auto at = line.find(" " + key + "=");
@@ -65,7 +65,9 @@
   return lines;
 }
 
-/// Milliseconds since midnight; logs that are read together begin on one day or the next.
+/// Returns the milliseconds since midnight. Logs that are read together may begin on consecutive
+/// days, but the date is ignored: related events are selected correctly only if all of them lie on
+/// the day of the request.
 std::int64_t ClockMs(const std::string& time)
 {
   int hours = 0;
@@ -81,7 +83,8 @@
          static_cast<std::int64_t>(seconds * MS_PER_SECOND);
 }
 
-/// What a request's lines name, by which other lines belong to its story.
+/// Models, server instances and fingerprints that a request's lines name, and the time span of
+/// these lines. Used to select related events.
 struct Subjects
 {
   std::set<std::string> models;
@@ -112,14 +115,16 @@
   return subjects;
 }
 
-/// True for the lines that tell why such requests are refused, which may be minutes older.
+/// True for events that blocked requests with the same fingerprint. They are shown regardless of
+/// their time, since they may be minutes older than the request.
 bool TellsOfBlock(const LogLine& line, const Subjects& subjects)
 {
   return FieldOf(line.text, "event") == "request-blocked" &&
          subjects.fingerprints.contains(FieldOf(line.text, "fingerprint"));
 }
 
-/// True for lines on the request's servers and model, and on who gives orders and what is known.
+/// True for events of the request's servers and models, and for changes of the order lease, the
+/// table source and the configuration.
 bool BelongsTo(const LogLine& line, const Subjects& subjects)
 {
   const std::string event = FieldOf(line.text, "event");
@@ -143,7 +148,7 @@
   const Subjects subjects = SubjectsOf(*lines, id);
   if (subjects.first.empty())
   {
-    std::cerr << "drumpond: no line names the request " << id << "\n";
+    std::cerr << "drumpond: no log line has the request id " << id << "\n";
     return ExitStatus::Failed;
   }
   const std::int64_t from = ClockMs(subjects.first) - CONTEXT_BEFORE_MS;
@@ -171,7 +176,7 @@
   const auto settings = PlatformAdapter::DecodeSettings(text);
   if (!settings)
     return Report(settings.Reason());
-  std::cout << "sound: " << settings->vm.Get() << " in " << settings->data_centre.Get()
+  std::cout << "valid: " << settings->vm.Get() << " in " << settings->data_centre.Get()
             << ", callers at " << settings->callers.ToString() << "\n";
   return ExitStatus::Ok;
 }
--- a/Source/Tool/Main.cpp
+++ b/Source/Tool/Main.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// drumpond: the operators' command-line tool.
+// drumpond: command-line tool for operators.
 
 #include <algorithm>
 #include <cstdlib>
@@ -28,17 +28,19 @@
 
 cxxopts::Options BuildOptions()
 {
-  cxxopts::Options options("drumpond", "Operators' tool of drumpond.");
+  cxxopts::Options options("drumpond", "Command-line tool for operators of drumpond.");
   options.add_options()("address",
-                        "IP:port of a daemon's operators' interface "
+                        "IP:port of a daemon's operator interface "
                         "(DRUMPOND_ADDRESS) [127.0.0.1:7091]",
                         cxxopts::value<std::string>())(
       "output", "table or json", cxxopts::value<std::string>()->default_value("table"))(
-      "who", "name for the history (DRUMPOND_WHO)", cxxopts::value<std::string>())(
-      "change-id", "id of the edit; a repetition with the same id is safe",
-      cxxopts::value<std::string>()->default_value(""))(
-      "count", "entries of the history", cxxopts::value<std::int64_t>()->default_value("20"))(
-      "no-wait", "do not wait until the edit is in force")("help", "print this text")(
+      "who", "author of the edit in the table history (DRUMPOND_WHO)",
+      cxxopts::value<std::string>())("change-id",
+                                     "id of the edit; a retry with the same id is safe",
+                                     cxxopts::value<std::string>()->default_value(""))(
+      "count", "number of history entries to show",
+      cxxopts::value<std::int64_t>()->default_value("20"))(
+      "no-wait", "return without waiting until the edit is in force")("help", "print this text")(
       "version", "print the version")("words", "command and its arguments",
                                       cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"words"});
@@ -57,12 +59,14 @@
     std::cout << "  " << usage << "\n      " << command.help
               << "\n      example: " << command.example << "\n";
   }
-  std::cout << "\nThe operator's token is read from DRUMPOND_TOKEN.\n"
-               "Exit status: 0 done, 1 failed, 2 wrong use or wrong file, 3 another edit came "
-               "first, 4 no answer.\n";
+  std::cout
+      << "\nThe operator's token is read from DRUMPOND_TOKEN.\n"
+         "Exit status: 0 success, 1 failure, 2 invalid command line or input file, 3 conflict "
+         "with another edit, 4 no response from the daemon or the platform.\n";
 }
 
-/// The command whose words begin the command line; its words are taken off.
+/// Returns the command that the leading words name and removes these words, or nullptr if they name
+/// no command.
 const Command* TakeCommand(std::vector<std::string>& words)
 {
   const auto matches = [&words](const Command& command) {
--- a/Source/Tool/OperatorClient.cpp
+++ b/Source/Tool/OperatorClient.cpp
@@ -21,7 +21,7 @@
 constexpr Common::Milliseconds TIMEOUT{15000};
 constexpr int STATUS_OK = 200;
 
-/// Runs the main loop until the answer is here.
+/// Runs the main loop until the exchange has ended.
 Result<Http::Response> SendBlocking(Http::Request request)
 {
   Http::Client client;
@@ -91,7 +91,7 @@
             Common::GetOr(error, "message", "status " + std::to_string(response->status))};
   }
   if (!json)
-    return {FailureKind::Protocol, "the daemon's answer is not JSON"};
+    return {FailureKind::Protocol, "the daemon's response is not JSON"};
   return *json;
 }
 } // namespace Tool
--- a/Source/Tool/OperatorClient.h
+++ b/Source/Tool/OperatorClient.h
@@ -10,14 +10,16 @@
 
 namespace Tool
 {
-/// Speaks with the operators' interface of one daemon, blocking.
+/// Blocking HTTP client for the operator interface of one daemon.
 class OperatorClient
 {
 public:
-  /// `address` is IP:port; `token` may be empty.
+  /// `address` is IP:port. If `token` is empty, no credentials are sent.
   OperatorClient(std::string address, std::string token);
 
-  /// Failures: NotSent, Unavailable, Protocol, or the type that the daemon answered.
+  /// Returns the body of a response with status 200. Otherwise fails with the kind that matches the
+  /// error type in the response (Unauthorized for status 403, Unavailable without a match), with
+  /// Protocol if a response with status 200 is not JSON, or with the failure of the HTTP exchange.
   Common::Result<Common::Json> Get(const std::string& path) const;
   Common::Result<Common::Json> Post(const std::string& path, const Common::Json& body) const;
 
--- a/Source/Tool/Output.h
+++ b/Source/Tool/Output.h
@@ -10,20 +10,19 @@
 
 namespace Tool
 {
-/// Exit statuses of the tool.
 enum class ExitStatus
 {
   Ok = 0,
   Failed = 1,      ///< The operation failed.
-  Usage = 2,       ///< Wrong command line or wrong table file.
-  Conflict = 3,    ///< Another edit came first.
-  Unreachable = 4, ///< The daemon or the platform does not answer.
+  Usage = 2,       ///< Invalid command line or input file.
+  Conflict = 3,    ///< The table was changed by another edit in the meantime.
+  Unreachable = 4, ///< No response from the daemon or the platform.
 };
 
-/// Prints rows under a heading, in columns.
+/// Prints a heading and rows in aligned columns. The heading is bold on a terminal.
 void PrintColumns(const std::vector<std::string>& heading,
                   const std::vector<std::vector<std::string>>& rows);
 
-/// The text of a JSON value: strings without quotes.
+/// Formats a JSON value for display: strings without quotes, anything else as JSON.
 std::string Text(const Common::Json& value);
 } // namespace Tool
--- a/Source/Tool/TableCommands.cpp
+++ b/Source/Tool/TableCommands.cpp
@@ -31,14 +31,15 @@
 constexpr std::chrono::milliseconds WAIT_STEP{100};
 constexpr std::chrono::seconds WAIT_LIMIT{20};
 
-/// The table as a daemon holds it.
+/// A revision of the table as fetched from a daemon.
 struct Seen
 {
   std::int64_t revision = 0;
   Table::RowMap rows;
 };
 
-/// Reads and checks a file; prints every error in it.
+/// Reads and checks a table file. Prints all errors to standard error and returns nullopt if there
+/// are any.
 std::optional<std::vector<Table::Row>> ReadFile(const std::string& path)
 {
   std::ifstream file(path);
@@ -83,7 +84,7 @@
   return {{"revision", seen.revision}, {"put", put}, {"removed", change.removed}};
 }
 
-/// What the change does to replicas that may be loaded.
+/// Describes the effect of a changed row on loaded replicas; empty if there is none.
 std::string Consequence(const Table::Row& row, const Seen& seen)
 {
   const auto found = seen.rows.find(Table::RowKey(row));
@@ -103,12 +104,13 @@
     rows.push_back({seen.rows.contains(Table::RowKey(row)) ? "change" : "add", Table::RowKey(row),
                     Consequence(row, seen)});
   for (const std::string& key : change.removed)
-    rows.push_back({"remove", key, "unloads what is loaded of it"});
+    rows.push_back({"remove", key, "unloads its replicas, if any"});
   PrintColumns({"EDIT", "ROW", "CONSEQUENCE"}, rows);
   std::cout << rows.size() << " rows differ from revision " << seen.revision << "\n";
 }
 
-/// The lowest revision among the live daemons.
+/// Returns the lowest table revision among the daemons that are alive, as seen by the contacted
+/// daemon.
 std::optional<std::int64_t> LowestRevision(const Invocation& invocation)
 {
   const auto dump = invocation.Client().Get("/dump");
@@ -144,7 +146,7 @@
     std::this_thread::sleep_for(WAIT_STEP);
   }
   std::cerr << "drumpond: revision " << revision
-            << " is accepted, but not yet in force everywhere; see: drumpond table status\n";
+            << " is accepted, but not yet in force at every daemon; see: drumpond table status\n";
   return ExitStatus::Failed;
 }
 } // namespace
@@ -190,7 +192,7 @@
   const Json body = {
       {"revision", seen->revision}, {"change", id}, {"who", invocation.who}, {"rows", items}};
   auto applied = invocation.Client().Post("/v1/table/apply", body);
-  // The change id makes a repetition safe: an edit that took effect is found by it.
+  // An edit that has taken effect is recognized by its change id, so a retry is safe.
   if (!applied && applied.Reason().kind == FailureKind::OutcomeUnknown)
     applied = invocation.Client().Post("/v1/table/apply", body);
   if (!applied)
