--- a/Source/LoadTool/Main.cpp
+++ b/Source/LoadTool/Main.cpp
@@ -1,8 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// drumpond-load: sends seeded chat requests to daemons or straight to an engine, and prints what it
-// measured as one JSON line. Open loop: requests go out by the trace, however slow the answers are.
+// drumpond-load: load generator. Sends chat requests to daemons or directly to backend servers, and
+// bulk jobs to daemons, and prints the measurements as one JSON line. The requests follow a trace
+// that is generated from a seed, in an open loop: each is sent on time, however slow the responses
+// are. With --streams it runs a closed loop instead.
 
 #include <array>
 #include <cmath>
@@ -27,7 +29,7 @@
 using Common::Task;
 using Common::TimePoint;
 
-/// Enough to see the end mark of a stream.
+/// Number of last bytes of a stream to keep; must hold its end marker, "[DONE]" and two newlines.
 constexpr std::size_t TAIL_BYTES = 16;
 
 struct Options
@@ -40,7 +42,7 @@
   double burst_every = 0;
   int burst_size = 12;
   int tokens = 8;
-  int streams = 0; ///< Closed loop with so many streams instead of the trace.
+  int streams = 0; ///< Number of streams in a closed loop; 0: open loop with a trace.
   std::int64_t deadline_ms = 30000;
   std::uint64_t seed = 1;
   double jobs_rate = 0;
@@ -60,7 +62,7 @@
   return static_cast<double>(random() >> 11) * 0x1.0p-53;
 }
 
-/// Draws models by a power law of their rank.
+/// Selects models at random, weighted by a power law of their rank.
 class Popularity
 {
 public:
@@ -80,7 +82,8 @@
   std::vector<double> m_sums;
 };
 
-/// Poisson arrivals, bursts of first requests at all targets, and jobs beside them.
+/// Generates the trace: chat requests and jobs as Poisson arrivals, and bursts of chat requests for
+/// one rarely used model, spread over all targets.
 std::vector<Arrival> MakeTrace(const Options& options)
 {
   Random random(options.seed);
@@ -100,7 +103,7 @@
   for (double at = options.burst_every; options.burst_every > 0 && at < options.seconds;
        at += options.burst_every)
   {
-    // Bursts hit what is rarely used: the tail of the popularity.
+    // Bursts request one of the less popular half of the models, which are rarely loaded.
     const std::size_t half = options.models.size() / 2;
     const std::size_t model = half + random() % (options.models.size() - half);
     for (int number = 0; number < options.burst_size; ++number)
@@ -223,7 +226,7 @@
 
 void RunUntil(const std::function<bool()>& condition)
 {
-  // A tick so that the condition is looked at although nothing happens.
+  // The timer wakes the main loop, so that the condition is checked even without other events.
   bool ticking = true;
   std::function<void()> tick = [&] {
     if (ticking)
@@ -255,7 +258,7 @@
   });
 }
 
-/// Each stream is followed by the next one until the time is over.
+/// Sends chat requests one after another until `end`.
 Task<void> KeepStreaming(const Options& options, Sender& sender, std::size_t number, TimePoint end)
 {
   while (Now() < end)
@@ -315,21 +318,25 @@
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options parser("drumpond-load", "Sends a seeded load and prints what it measured.");
+  cxxopts::Options parser("drumpond-load",
+                          "Sends a load generated from a seed and prints measurements as JSON.");
   parser.add_options()("targets", "URLs", cxxopts::value<std::vector<std::string>>())(
-      "models", "names; NAME:COUNT for NAME-01 to NAME-COUNT", cxxopts::value<std::string>())(
-      "rate", "requests a second", cxxopts::value<double>()->default_value("10"))(
-      "seconds", "length of the trace", cxxopts::value<double>()->default_value("10"))(
-      "exponent", "of the popularity's power law", cxxopts::value<double>()->default_value("1"))(
-      "burst-every", "seconds between bursts; 0: none",
-      cxxopts::value<double>()->default_value("0"))("burst-size", "requests of a burst",
-                                                    cxxopts::value<int>()->default_value("12"))(
-      "jobs-rate", "bulk jobs a second", cxxopts::value<double>()->default_value("0"))(
-      "tokens", "tokens of an answer", cxxopts::value<int>()->default_value("8"))(
-      "streams", "streams at once, without a trace", cxxopts::value<int>()->default_value("0"))(
+      "models", "model names; NAME:COUNT stands for NAME-01 to NAME-COUNT",
+      cxxopts::value<std::string>())("rate", "chat requests per second",
+                                     cxxopts::value<double>()->default_value("10"))(
+      "seconds", "duration of the load", cxxopts::value<double>()->default_value("10"))(
+      "exponent", "exponent of the power law of model popularity",
+      cxxopts::value<double>()->default_value("1"))("burst-every",
+                                                    "seconds between bursts; 0: none",
+                                                    cxxopts::value<double>()->default_value("0"))(
+      "burst-size", "requests per burst", cxxopts::value<int>()->default_value("12"))(
+      "jobs-rate", "bulk jobs per second", cxxopts::value<double>()->default_value("0"))(
+      "tokens", "tokens per response", cxxopts::value<int>()->default_value("8"))(
+      "streams", "concurrent streams in a closed loop, instead of a trace",
+      cxxopts::value<int>()->default_value("0"))(
       "deadline-ms", "deadline", cxxopts::value<std::int64_t>()->default_value("30000"))(
-      "seed", "of the trace", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "label", "copied into the output",
+      "seed", "seed of the trace", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "label", "label to include in the output",
       cxxopts::value<std::string>()->default_value(""))("help", "print this text");
   try
   {
--- a/Source/LoadTool/Samples.h
+++ b/Source/LoadTool/Samples.h
@@ -11,14 +11,15 @@
 
 namespace LoadTool
 {
-/// Measured values in milliseconds and their percentiles.
+/// Durations in milliseconds and their percentiles.
 class Samples
 {
 public:
   void Add(double value) { m_values.push_back(value); }
   std::size_t Size() const { return m_values.size(); }
 
-  /// The value below which `share` of all lie; 0 without any.
+  /// Returns the sample at the rank closest to `share` (0 to 1) of the sorted samples, or 0 if
+  /// there are none.
   double Percentile(double share) const
   {
     if (m_values.empty())
