--- a/Source/ScenarioRunner/LuaJson.h
+++ b/Source/ScenarioRunner/LuaJson.h
@@ -12,7 +12,8 @@
 /// Pushes a JSON value as a Lua value; null becomes nil.
 void PushJson(lua_State* lua, const Common::Json& value);
 
-/// The Lua value at `index` as JSON. A table with entries 1..n is an array, an empty one an object
-/// unless it carries the field `__array`.
+/// Converts the Lua value at `index` to JSON. A table with entries 1..n becomes an array; its other
+/// keys are dropped. An empty table becomes an object, unless it has the field `__array`. A value
+/// of another type becomes null.
 Common::Json ToJson(lua_State* lua, int index);
 } // namespace ScenarioRunner
--- a/Source/ScenarioRunner/Main.cpp
+++ b/Source/ScenarioRunner/Main.cpp
@@ -1,9 +1,9 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Runs scenarios: Lua scripts that start daemons and stand-ins on loopback addresses, let them
-// fail, and check what the stand-ins recorded. Lua calls wait on the main loop, so that relays and
-// requests under way go on meanwhile.
+// Runs scenarios: Lua scripts that start daemons and stand-ins on loopback addresses, inject
+// faults, and check what the stand-ins recorded. The Lua function `sleep` runs the main loop, so
+// relays and requests in flight make progress meanwhile.
 
 #include <csignal>
 #include <filesystem>
@@ -27,7 +27,7 @@
 using Common::Json;
 using Common::Milliseconds;
 
-/// What one scenario uses; destroyed after it.
+/// Resources of one scenario.
 struct World
 {
   explicit World(const std::string& logs) : processes(logs) {}
@@ -42,7 +42,7 @@
 struct Runner
 {
   std::string bin;
-  std::string net; ///< The first three bytes of all addresses.
+  std::string net; ///< First three bytes of all loopback addresses.
   std::string only;
   std::string log_root;
   std::unique_ptr<World> world;
@@ -150,7 +150,7 @@
   return 1;
 }
 
-/// answer(id) -> the answer, or nil while it is under way
+/// answer(id) -> response, or nil while the request is in flight
 int LuaAnswer(lua_State* lua)
 {
   const auto& answers = TheRunner().world->answers;
@@ -205,7 +205,7 @@
   return 1;
 }
 
-/// scenario(name, function): runs the function in a world of its own.
+/// scenario(name, function): runs the function with its own processes, relays and log directory.
 int LuaScenario(lua_State* lua)
 {
   Runner& runner = TheRunner();
@@ -228,7 +228,8 @@
   std::cout.flush();
   ++(passed ? runner.passed : runner.failed);
   runner.world->processes.EndAll();
-  // Requests that are still under way end with their peers; then nothing refers to the world.
+  // Requests that are still in flight fail now that their peers are gone. Running the loop lets
+  // them finish; until then they refer to the world, which is kept until the program exits.
   RunLoopFor(Milliseconds(50));
   static std::vector<std::unique_ptr<World>> s_finished;
   s_finished.push_back(std::move(runner.world));
@@ -274,13 +275,14 @@
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options options("scenario-runner", "Runs scripted scenarios against real processes.");
-  options.add_options()("bin", "folder of the programs",
+  cxxopts::Options options("scenario-runner", "Runs Lua scenarios against real processes.");
+  options.add_options()("bin", "directory of the programs",
                         cxxopts::value<std::string>()->default_value("build/bin"))(
       "net", "first three bytes of the loopback addresses",
       cxxopts::value<std::string>()->default_value("127.33.1"))(
-      "logs", "folder for logs", cxxopts::value<std::string>()->default_value("build/scenarios"))(
-      "only", "run only scenarios whose name contains this",
+      "logs", "directory for logs",
+      cxxopts::value<std::string>()->default_value("build/scenarios"))(
+      "only", "run only scenarios whose name contains this text",
       cxxopts::value<std::string>()->default_value(""))("files", "scenario files",
                                                         cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"files"});
--- a/Source/ScenarioRunner/Processes.cpp
+++ b/Source/ScenarioRunner/Processes.cpp
@@ -30,7 +30,7 @@
   const pid_t pid = fork();
   if (pid == 0)
   {
-    // A runner that is killed must leave no processes behind.
+    // The kernel kills this process when the scenario runner dies, so that no process is left over.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (getppid() != runner)
       _exit(1);
@@ -47,7 +47,8 @@
 
 void Processes::Signal(int pid, int signal)
 {
-  // Only what was started here and has not been reaped: its id cannot be another's.
+  // Signals only processes that were started here and not reaped yet: the kernel cannot have reused
+  // their ids.
   const auto found = m_processes.find(pid);
   if (found != m_processes.end() && !Ended(pid))
     kill(pid, signal);
--- a/Source/ScenarioRunner/Processes.h
+++ b/Source/ScenarioRunner/Processes.h
@@ -10,7 +10,7 @@
 
 namespace ScenarioRunner
 {
-/// The processes that a scenario started; all are ended with it.
+/// The processes that a scenario started. The destructor kills those that still run.
 class Processes
 {
 public:
@@ -19,10 +19,12 @@
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
 
-  /// Starts a program with its output in NAME.log; gives its process id, or 0.
+  /// Starts a program and appends its output to NAME.log. Returns the process id, or 0 if the
+  /// process could not be created.
   int Start(const std::string& name, const std::vector<std::string>& command);
   void Signal(int pid, int signal);
-  /// The exit status (128 + signal for a killed one) once the process has ended.
+  /// Returns the exit status, or 128 + the signal that killed the process. Returns nullopt while
+  /// the process runs, and for processes not started here.
   std::optional<int> Ended(int pid);
   void EndAll();
 
--- a/Source/ScenarioRunner/Relay.h
+++ b/Source/ScenarioRunner/Relay.h
@@ -16,8 +16,10 @@
 
 namespace ScenarioRunner
 {
-/// Passes TCP connections and UDP datagrams from one loopback address on to another. While it is
-/// cut, nothing passes and nothing is answered, as on a broken network.
+/// Forwards TCP connections and UDP datagrams from one loopback address to another. While it is
+/// cut, it simulates a network partition: datagrams are dropped; TCP data is held back until the
+/// cut ends. Connections are accepted, but not forwarded until then. Datagrams pass in one
+/// direction only.
 class Relay
 {
 public:
@@ -25,7 +27,7 @@
 
   Common::Result<Common::Done> Open();
   void SetCut(bool cut);
-  /// How many bytes of a connection pass in a ms, each way; as many as come where none is set.
+  /// Limits the throughput of each connection, per direction. 0: no limit.
   void SetRate(std::int64_t bytes_per_ms) { m_bytes_per_ms = bytes_per_ms; }
 
 private:
