--- a/Source/Tool/Commands.cpp
+++ b/Source/Tool/Commands.cpp
@@ -26,7 +26,7 @@
       {"table status", "", "show which table revision each daemon uses", "drumpond table status", 0,
        TableStatus},
       {"models", "", "show the models and where they are loaded", "drumpond models", 0, ShowModels},
-      {"runners", "", "show the backend servers", "drumpond runners", 0, ShowRunners},
+      {"runners", "", "show the backend servers", "drumpond runners", 0, ShowServers},
       {"daemons", "", "show the daemons", "drumpond daemons", 0, ShowDaemons},
       {"dump", "", "print the whole state of one daemon as JSON", "drumpond dump", 0, ShowDump},
       {"explain", "KEY",
@@ -42,7 +42,7 @@
   return s_commands;
 }
 
-ExitStatus Report(const Common::Failure& failure)
+ExitStatus ReportFailure(const Common::Failure& failure)
 {
   std::cerr << "drumpond: " << Common::ToString(failure.kind) << ": " << failure.detail << "\n";
   switch (failure.kind)
--- a/Source/Tool/Commands.h
+++ b/Source/Tool/Commands.h
@@ -42,7 +42,7 @@
 const std::vector<Command>& Commands();
 
 /// Prints a failure to standard error and returns the matching exit status.
-ExitStatus Report(const Common::Failure& failure);
+ExitStatus ReportFailure(const Common::Failure& failure);
 
 ExitStatus TableCheck(const Invocation& invocation);
 ExitStatus TablePlan(const Invocation& invocation);
@@ -53,7 +53,7 @@
 ExitStatus TableStatus(const Invocation& invocation);
 
 ExitStatus ShowModels(const Invocation& invocation);
-ExitStatus ShowRunners(const Invocation& invocation);
+ExitStatus ShowServers(const Invocation& invocation);
 ExitStatus ShowDaemons(const Invocation& invocation);
 ExitStatus ShowDump(const Invocation& invocation);
 ExitStatus Explain(const Invocation& invocation);
--- a/Source/Tool/InspectCommands.cpp
+++ b/Source/Tool/InspectCommands.cpp
@@ -17,68 +17,70 @@
 using Common::GetOr;
 using Common::Json;
 
-using Cells = std::vector<std::vector<std::string>>;
+using OutputRows = std::vector<std::vector<std::string>>;
 
 /// Fetches the daemon's state and prints one section of it, as JSON or in columns.
-ExitStatus PrintPart(const Invocation& invocation, const char* part,
-                     const std::vector<std::string>& heading, Cells (*rows_of)(const Json&))
+ExitStatus PrintDumpSection(const Invocation& invocation, const char* section,
+                            const std::vector<std::string>& heading,
+                            OutputRows (*make_rows)(const Json&))
 {
   const auto dump = invocation.Client().Get("/dump");
   if (!dump)
-    return Report(dump.Reason());
-  const Json items = GetArray(*dump, part);
+    return ReportFailure(dump.Reason());
+  const Json items = GetArray(*dump, section);
   if (invocation.json)
     std::cout << items.dump(2) << "\n";
   else
-    PrintColumns(heading, rows_of(items));
+    PrintColumns(heading, make_rows(items));
   return ExitStatus::Ok;
 }
 
-Cells RunnerRows(const Json& servers)
+OutputRows ServerRows(const Json& servers)
 {
-  Cells rows;
+  OutputRows rows;
   for (const Json& server : servers)
   {
     std::string loaded;
     for (const Json& replica : GetArray(server, "replicas"))
-      loaded += (loaded.empty() ? "" : " ") + Text(replica["artifact"]) + "(" +
-                Text(replica["state"]) + ")";
-    const bool leaving = GetOr(server, "leaving", false);
+      loaded += (loaded.empty() ? "" : " ") + DisplayText(replica["artifact"]) + "(" +
+                DisplayText(replica["state"]) + ")";
+    const bool draining = GetOr(server, "leaving", false);
     const bool ready = GetOr(server, "ready", false);
-    rows.push_back({Text(server["vm"]), leaving ? "leaving" : (ready ? "ready" : "not ready"),
-                    Text(server["keeper"]),
-                    Text(server["claimed_mb"]) + "/" + Text(server["capacity_mb"]),
-                    Text(server["running"]), loaded});
+    rows.push_back({DisplayText(server["vm"]),
+                    draining ? "leaving" : (ready ? "ready" : "not ready"),
+                    DisplayText(server["keeper"]),
+                    DisplayText(server["claimed_mb"]) + "/" + DisplayText(server["capacity_mb"]),
+                    DisplayText(server["running"]), loaded});
   }
   return rows;
 }
 
-Cells ModelRows(const Json& servers)
+OutputRows ModelRows(const Json& servers)
 {
-  std::map<std::string, std::string> where;
+  std::map<std::string, std::string> locations_by_artifact;
   for (const Json& server : servers)
     for (const Json& replica : GetArray(server, "replicas"))
     {
-      std::string& places = where[Text(replica["artifact"])];
-      places +=
-          (places.empty() ? "" : " ") + Text(server["vm"]) + "(" + Text(replica["state"]) + ")";
+      std::string& locations = locations_by_artifact[DisplayText(replica["artifact"])];
+      locations += (locations.empty() ? "" : " ") + DisplayText(server["vm"]) + "(" +
+                   DisplayText(replica["state"]) + ")";
     }
-  Cells rows;
-  for (const auto& [artifact, places] : where)
-    rows.push_back({artifact, places});
+  OutputRows rows;
+  for (const auto& [artifact, locations] : locations_by_artifact)
+    rows.push_back({artifact, locations});
   return rows;
 }
 
-Cells DaemonRows(const Json& daemons)
+OutputRows DaemonRows(const Json& daemons)
 {
-  Cells rows;
+  OutputRows rows;
   for (const Json& daemon : daemons)
   {
     const bool alive = GetOr(daemon, "alive", false);
-    const bool leaving = GetOr(daemon, "leaving", false);
-    rows.push_back({Text(daemon["vm"]), Text(daemon["data_centre"]),
-                    leaving ? "leaving" : (alive ? "alive" : "silent"), Text(daemon["incarnation"]),
-                    Text(daemon["table_revision"])});
+    const bool draining = GetOr(daemon, "leaving", false);
+    rows.push_back({DisplayText(daemon["vm"]), DisplayText(daemon["data_centre"]),
+                    draining ? "leaving" : (alive ? "alive" : "silent"),
+                    DisplayText(daemon["incarnation"]), DisplayText(daemon["table_revision"])});
   }
   return rows;
 }
@@ -86,26 +88,27 @@
 
 ExitStatus ShowModels(const Invocation& invocation)
 {
-  return PrintPart(invocation, "servers", {"MODEL", "LOADED"}, ModelRows);
+  return PrintDumpSection(invocation, "servers", {"MODEL", "LOADED"}, ModelRows);
 }
 
-ExitStatus ShowRunners(const Invocation& invocation)
+ExitStatus ShowServers(const Invocation& invocation)
 {
-  return PrintPart(invocation, "servers",
-                   {"VM", "STATE", "KEEPER", "MEMORY_MB", "RUNNING", "REPLICAS"}, RunnerRows);
+  return PrintDumpSection(invocation, "servers",
+                          {"VM", "STATE", "KEEPER", "MEMORY_MB", "RUNNING", "REPLICAS"},
+                          ServerRows);
 }
 
 ExitStatus ShowDaemons(const Invocation& invocation)
 {
-  return PrintPart(invocation, "daemons", {"VM", "DATA_CENTRE", "STATE", "INCARNATION", "REVISION"},
-                   DaemonRows);
+  return PrintDumpSection(invocation, "daemons",
+                          {"VM", "DATA_CENTRE", "STATE", "INCARNATION", "REVISION"}, DaemonRows);
 }
 
 ExitStatus ShowDump(const Invocation& invocation)
 {
   const auto dump = invocation.Client().Get("/dump");
   if (!dump)
-    return Report(dump.Reason());
+    return ReportFailure(dump.Reason());
   std::cout << dump->dump(2) << "\n";
   return ExitStatus::Ok;
 }
@@ -116,16 +119,16 @@
   const auto json = invocation.Client().Get(std::string("/v1/explain?key=") + key);
   g_free(key);
   if (!json)
-    return Report(json.Reason());
+    return ReportFailure(json.Reason());
   if (invocation.json)
   {
     std::cout << json->dump(2) << "\n";
     return ExitStatus::Ok;
   }
-  Cells rows;
+  OutputRows rows;
   for (const Json& decision : GetArray(*json, "decisions"))
-    rows.push_back({Text(decision["at_ms"]), Text(decision["decision"]), Text(decision["about"]),
-                    Text(decision["figures"])});
+    rows.push_back({DisplayText(decision["at_ms"]), DisplayText(decision["decision"]),
+                    DisplayText(decision["about"]), DisplayText(decision["figures"])});
   PrintColumns({"AT_MS", "DECISION", "ABOUT", "FIGURES"}, rows);
   return ExitStatus::Ok;
 }
--- a/Source/Tool/LogCommands.cpp
+++ b/Source/Tool/LogCommands.cpp
@@ -24,18 +24,18 @@
 /// store takes several seconds, and the reason why a model was not loaded precedes the request.
 constexpr std::int64_t CONTEXT_BEFORE_MS = 10000;
 /// Length of a timestamp such as "2026-12-02T16:00:00.000", by which lines are sorted.
-constexpr std::size_t TIME_LENGTH = 23;
+constexpr std::size_t TIMESTAMP_LENGTH = 23;
 
 struct LogLine
 {
   std::string file;
   std::string text;
 
-  std::string Time() const { return text.substr(0, TIME_LENGTH); }
+  std::string Timestamp() const { return text.substr(0, TIMESTAMP_LENGTH); }
 };
 
 /// Returns the value of `key=value` or `key="value"` in a line, or an empty string.
-std::string FieldOf(const std::string& line, const std::string& key)
+std::string FieldValue(const std::string& line, const std::string& key)
 {
   const auto at = line.find(" " + key + "=");
   if (at == std::string::npos)
@@ -58,23 +58,23 @@
       return std::nullopt;
     }
     for (std::string line; std::getline(in, line);)
-      if (line.size() > TIME_LENGTH && line.find(" event=") != std::string::npos)
+      if (line.size() > TIMESTAMP_LENGTH && line.find(" event=") != std::string::npos)
         lines.push_back({file, std::move(line)});
   }
-  std::ranges::stable_sort(lines, {}, &LogLine::Time);
+  std::ranges::stable_sort(lines, {}, &LogLine::Timestamp);
   return lines;
 }
 
 /// Returns the milliseconds since midnight. Logs that are read together may begin on consecutive
 /// days, but the date is ignored: related events are selected correctly only if all of them lie on
 /// the day of the request.
-std::int64_t ClockMs(const std::string& time)
+std::int64_t MillisecondsSinceMidnight(const std::string& timestamp)
 {
   int hours = 0;
   int minutes = 0;
   double seconds = 0;
   char separator = 0;
-  std::istringstream in(time.substr(time.find('T') + 1));
+  std::istringstream in(timestamp.substr(timestamp.find('T') + 1));
   in >> hours >> separator >> minutes >> separator >> seconds;
   constexpr int MINUTES_PER_HOUR = 60;
   constexpr int MS_PER_MINUTE = 60000;
@@ -85,56 +85,56 @@
 
 /// Models, server instances and fingerprints that a request's lines name, and the time span of
 /// these lines. Used to select related events.
-struct Subjects
+struct RequestContext
 {
   std::set<std::string> models;
   std::set<std::string> instances;
   std::set<std::string> fingerprints;
-  std::string first;
-  std::string last;
+  std::string first_timestamp;
+  std::string last_timestamp;
 };
 
-Subjects SubjectsOf(const std::vector<LogLine>& lines, const std::string& id)
+RequestContext CollectContext(const std::vector<LogLine>& lines, const std::string& id)
 {
-  Subjects subjects;
+  RequestContext context;
   for (const LogLine& line : lines)
   {
-    if (FieldOf(line.text, "id") != id)
+    if (FieldValue(line.text, "id") != id)
       continue;
-    if (subjects.first.empty())
-      subjects.first = line.Time();
-    subjects.last = line.Time();
-    const std::string artifact = FieldOf(line.text, "artifact");
+    if (context.first_timestamp.empty())
+      context.first_timestamp = line.Timestamp();
+    context.last_timestamp = line.Timestamp();
+    const std::string artifact = FieldValue(line.text, "artifact");
     if (!artifact.empty())
-      subjects.models.insert(artifact.substr(0, artifact.find('/')));
-    if (const std::string instance = FieldOf(line.text, "instance"); !instance.empty())
-      subjects.instances.insert(instance);
-    if (const std::string print = FieldOf(line.text, "fingerprint"); !print.empty())
-      subjects.fingerprints.insert(print);
+      context.models.insert(artifact.substr(0, artifact.find('/')));
+    if (const std::string instance = FieldValue(line.text, "instance"); !instance.empty())
+      context.instances.insert(instance);
+    if (const std::string fingerprint = FieldValue(line.text, "fingerprint"); !fingerprint.empty())
+      context.fingerprints.insert(fingerprint);
   }
-  return subjects;
+  return context;
 }
 
 /// True for events that blocked requests with the same fingerprint. They are shown regardless of
 /// their time, since they may be minutes older than the request.
-bool TellsOfBlock(const LogLine& line, const Subjects& subjects)
+bool IsMatchingBlock(const LogLine& line, const RequestContext& context)
 {
-  return FieldOf(line.text, "event") == "request-blocked" &&
-         subjects.fingerprints.contains(FieldOf(line.text, "fingerprint"));
+  return FieldValue(line.text, "event") == "request-blocked" &&
+         context.fingerprints.contains(FieldValue(line.text, "fingerprint"));
 }
 
 /// True for events of the request's servers and models, and for changes of the order lease, the
 /// table source and the configuration.
-bool BelongsTo(const LogLine& line, const Subjects& subjects)
+bool IsRelatedEvent(const LogLine& line, const RequestContext& context)
 {
-  const std::string event = FieldOf(line.text, "event");
-  const bool on_requests = event == "request" || event == "attempt-failed";
-  if (on_requests)
+  const std::string event = FieldValue(line.text, "event");
+  const bool is_request_event = event == "request" || event == "attempt-failed";
+  if (is_request_event)
     return false;
   if (event.starts_with("lease-") || event.starts_with("table-source") || event == "configuration")
     return true;
-  return subjects.instances.contains(FieldOf(line.text, "instance")) ||
-         subjects.models.contains(FieldOf(line.text, "model"));
+  return context.instances.contains(FieldValue(line.text, "instance")) ||
+         context.models.contains(FieldValue(line.text, "model"));
 }
 } // namespace
 
@@ -145,21 +145,22 @@
       ReadLogs({std::next(invocation.arguments.begin()), invocation.arguments.end()});
   if (!lines)
     return ExitStatus::Usage;
-  const Subjects subjects = SubjectsOf(*lines, id);
-  if (subjects.first.empty())
+  const RequestContext context = CollectContext(*lines, id);
+  if (context.first_timestamp.empty())
   {
     std::cerr << "drumpond: no log line has the request id " << id << "\n";
     return ExitStatus::Failed;
   }
-  const std::int64_t from = ClockMs(subjects.first) - CONTEXT_BEFORE_MS;
-  const std::int64_t to = ClockMs(subjects.last);
+  const std::int64_t from = MillisecondsSinceMidnight(context.first_timestamp) - CONTEXT_BEFORE_MS;
+  const std::int64_t to = MillisecondsSinceMidnight(context.last_timestamp);
   for (const LogLine& line : *lines)
   {
-    const bool own = FieldOf(line.text, "id") == id;
-    const std::int64_t at = ClockMs(line.Time());
-    const bool in_time = at >= from && at <= to;
-    if (own || TellsOfBlock(line, subjects) || (in_time && BelongsTo(line, subjects)))
-      std::cout << (own ? "* " : "  ") << line.file << " " << line.text << "\n";
+    const bool is_request_line = FieldValue(line.text, "id") == id;
+    const std::int64_t at = MillisecondsSinceMidnight(line.Timestamp());
+    const bool in_time_window = at >= from && at <= to;
+    if (is_request_line || IsMatchingBlock(line, context) ||
+        (in_time_window && IsRelatedEvent(line, context)))
+      std::cout << (is_request_line ? "* " : "  ") << line.file << " " << line.text << "\n";
   }
   return ExitStatus::Ok;
 }
@@ -175,7 +176,7 @@
   const std::string text{std::istreambuf_iterator<char>(in), {}};
   const auto settings = PlatformAdapter::DecodeSettings(text);
   if (!settings)
-    return Report(settings.Reason());
+    return ReportFailure(settings.Reason());
   std::cout << "valid: " << settings->vm.Get() << " in " << settings->data_centre.Get()
             << ", callers at " << settings->callers.ToString() << "\n";
   return ExitStatus::Ok;
--- a/Source/Tool/Main.cpp
+++ b/Source/Tool/Main.cpp
@@ -67,7 +67,7 @@
 
 /// Returns the command that the leading words name and removes these words, or nullptr if they name
 /// no command.
-const Command* TakeCommand(std::vector<std::string>& words)
+const Command* ExtractCommand(std::vector<std::string>& words)
 {
   const auto matches = [&words](const Command& command) {
     const auto space = command.words.find(' ');
@@ -107,12 +107,12 @@
   std::vector<std::string> words;
   if (parsed.count("words") != 0)
     words = parsed["words"].as<std::vector<std::string>>();
-  const Command* command = TakeCommand(words);
+  const Command* command = ExtractCommand(words);
   if (!command)
     return UsageError("expected a command");
-  const bool takes_more = command->arguments.ends_with("...");
+  const bool is_variadic = command->arguments.ends_with("...");
   if (words.size() < command->argument_count ||
-      (words.size() > command->argument_count && !takes_more))
+      (words.size() > command->argument_count && !is_variadic))
     return UsageError("expected: drumpond " + command->words + " " + command->arguments);
   Tool::Invocation invocation;
   invocation.arguments = words;
--- a/Source/Tool/OperatorClient.cpp
+++ b/Source/Tool/OperatorClient.cpp
@@ -25,21 +25,21 @@
 Result<Http::Response> SendBlocking(Http::Request request)
 {
   Http::Client client;
-  std::optional<Result<Http::Response>> answer;
+  std::optional<Result<Http::Response>> result;
   GMainLoop* loop = g_main_loop_new(nullptr, FALSE);
-  const auto run = [&](Http::Request sent) -> Common::Task<void> {
-    auto response = co_await client.Send(std::move(sent));
-    answer.emplace(std::move(response));
+  const auto run = [&](Http::Request outgoing) -> Common::Task<void> {
+    auto response = co_await client.Send(std::move(outgoing));
+    result.emplace(std::move(response));
     g_main_loop_quit(loop);
   };
   Common::Spawn(run(std::move(request)));
-  if (!answer)
+  if (!result)
     g_main_loop_run(loop);
   g_main_loop_unref(loop);
-  return *answer;
+  return *result;
 }
 
-FailureKind KindOf(const std::string& type, int status)
+FailureKind FailureKindFromResponse(const std::string& type, int status)
 {
   if (type == "conflict")
     return FailureKind::Conflict;
@@ -87,7 +87,7 @@
   if (response->status != STATUS_OK)
   {
     const Json error = json ? json->value("error", Json::object()) : Json::object();
-    return {KindOf(Common::GetOr(error, "type", std::string()), response->status),
+    return {FailureKindFromResponse(Common::GetOr(error, "type", std::string()), response->status),
             Common::GetOr(error, "message", "status " + std::to_string(response->status))};
   }
   if (!json)
--- a/Source/Tool/Output.cpp
+++ b/Source/Tool/Output.cpp
@@ -44,7 +44,7 @@
     PrintRow(row, widths);
 }
 
-std::string Text(const Common::Json& value)
+std::string DisplayText(const Common::Json& value)
 {
   return value.is_string() ? value.get<std::string>() : Common::DumpJson(value);
 }
--- a/Source/Tool/Output.h
+++ b/Source/Tool/Output.h
@@ -24,5 +24,5 @@
                   const std::vector<std::vector<std::string>>& rows);
 
 /// Formats a JSON value for display: strings without quotes, anything else as JSON.
-std::string Text(const Common::Json& value);
+std::string DisplayText(const Common::Json& value);
 } // namespace Tool
--- a/Source/Tool/TableCommands.cpp
+++ b/Source/Tool/TableCommands.cpp
@@ -28,11 +28,11 @@
 using Common::Json;
 using Common::Result;
 
-constexpr std::chrono::milliseconds WAIT_STEP{100};
-constexpr std::chrono::seconds WAIT_LIMIT{20};
+constexpr std::chrono::milliseconds POLL_INTERVAL{100};
+constexpr std::chrono::seconds WAIT_TIMEOUT{20};
 
 /// A revision of the table as fetched from a daemon.
-struct Seen
+struct TableSnapshot
 {
   std::int64_t revision = 0;
   Table::RowMap rows;
@@ -58,37 +58,37 @@
   return content.rows;
 }
 
-Result<Seen> FetchTable(const Invocation& invocation)
+Result<TableSnapshot> FetchTable(const Invocation& invocation)
 {
   const auto json = invocation.Client().Get("/v1/table?fresh=1");
   if (!json)
     return json.Reason();
-  Seen seen;
-  seen.revision = GetOr(*json, "revision", std::int64_t(0));
+  TableSnapshot snapshot;
+  snapshot.revision = GetOr(*json, "revision", std::int64_t(0));
   for (const Json& item : GetArray(*json, "rows"))
   {
     const auto row = Table::RowFromJson(item);
     if (!row)
       return row.Reason();
-    seen.rows[Table::RowKey(*row)] = {*row, 0};
+    snapshot.rows[Table::RowKey(*row)] = {*row, 0};
   }
-  return seen;
+  return snapshot;
 }
 
-Json ChangeJson(const Table::Change& change, const Seen& seen)
+Json ChangeJson(const Table::Change& change, const TableSnapshot& snapshot)
 {
   Json put = Json::array();
   for (const Table::Row& row : change.put)
     put.push_back({{"key", Table::RowKey(row)},
-                   {"change", seen.rows.contains(Table::RowKey(row)) ? "change" : "add"}});
-  return {{"revision", seen.revision}, {"put", put}, {"removed", change.removed}};
+                   {"change", snapshot.rows.contains(Table::RowKey(row)) ? "change" : "add"}});
+  return {{"revision", snapshot.revision}, {"put", put}, {"removed", change.removed}};
 }
 
 /// Describes the effect of a changed row on loaded replicas; empty if there is none.
-std::string Consequence(const Table::Row& row, const Seen& seen)
+std::string DescribeEffect(const Table::Row& row, const TableSnapshot& snapshot)
 {
-  const auto found = seen.rows.find(Table::RowKey(row));
-  if (found == seen.rows.end())
+  const auto found = snapshot.rows.find(Table::RowKey(row));
+  if (found == snapshot.rows.end())
     return row.replicas ? "may load up to " + std::to_string(*row.replicas) : "";
   const auto before = found->second.row.replicas.value_or(0);
   const auto after = row.replicas.value_or(0);
@@ -97,16 +97,16 @@
   return after > before ? "may load up to " + std::to_string(after) : "";
 }
 
-void PrintChange(const Table::Change& change, const Seen& seen)
+void PrintChange(const Table::Change& change, const TableSnapshot& snapshot)
 {
   std::vector<std::vector<std::string>> rows;
   for (const Table::Row& row : change.put)
-    rows.push_back({seen.rows.contains(Table::RowKey(row)) ? "change" : "add", Table::RowKey(row),
-                    Consequence(row, seen)});
+    rows.push_back({snapshot.rows.contains(Table::RowKey(row)) ? "change" : "add",
+                    Table::RowKey(row), DescribeEffect(row, snapshot)});
   for (const std::string& key : change.removed)
     rows.push_back({"remove", key, "unloads its replicas, if any"});
   PrintColumns({"EDIT", "ROW", "CONSEQUENCE"}, rows);
-  std::cout << rows.size() << " rows differ from revision " << seen.revision << "\n";
+  std::cout << rows.size() << " rows differ from revision " << snapshot.revision << "\n";
 }
 
 /// Returns the lowest table revision among the daemons that are alive, as seen by the contacted
@@ -126,24 +126,24 @@
   return lowest;
 }
 
-ExitStatus WaitInForce(const Invocation& invocation, std::int64_t revision)
+ExitStatus WaitUntilInForce(const Invocation& invocation, std::int64_t revision)
 {
   const bool terminal = isatty(STDERR_FILENO) != 0;
-  const auto began = Common::Now();
-  while (Common::Now() - began < WAIT_LIMIT)
+  const auto start_time = Common::Now();
+  while (Common::Now() - start_time < WAIT_TIMEOUT)
   {
     const auto lowest = LowestRevision(invocation);
     if (lowest && *lowest >= revision)
     {
-      const auto took =
-          std::chrono::duration_cast<std::chrono::milliseconds>(Common::Now() - began);
+      const auto elapsed =
+          std::chrono::duration_cast<std::chrono::milliseconds>(Common::Now() - start_time);
       std::cout << "revision " << revision << " is in force at every connected daemon after "
-                << took.count() << " ms\n";
+                << elapsed.count() << " ms\n";
       return ExitStatus::Ok;
     }
     if (terminal)
       std::cerr << "\rwaiting until revision " << revision << " is in force ..." << std::flush;
-    std::this_thread::sleep_for(WAIT_STEP);
+    std::this_thread::sleep_for(POLL_INTERVAL);
   }
   std::cerr << "drumpond: revision " << revision
             << " is accepted, but not yet in force at every daemon; see: drumpond table status\n";
@@ -165,14 +165,14 @@
   const auto rows = ReadFile(invocation.arguments.front());
   if (!rows)
     return ExitStatus::Usage;
-  const auto seen = FetchTable(invocation);
-  if (!seen)
-    return Report(seen.Reason());
-  const Table::Change change = Table::Difference(seen->rows, *rows);
+  const auto snapshot = FetchTable(invocation);
+  if (!snapshot)
+    return ReportFailure(snapshot.Reason());
+  const Table::Change change = Table::Difference(snapshot->rows, *rows);
   if (invocation.json)
-    std::cout << ChangeJson(change, *seen).dump(2) << "\n";
+    std::cout << ChangeJson(change, *snapshot).dump(2) << "\n";
   else
-    PrintChange(change, *seen);
+    PrintChange(change, *snapshot);
   return ExitStatus::Ok;
 }
 
@@ -181,32 +181,32 @@
   const auto rows = ReadFile(invocation.arguments.front());
   if (!rows)
     return ExitStatus::Usage;
-  const auto seen = FetchTable(invocation);
-  if (!seen)
-    return Report(seen.Reason());
+  const auto snapshot = FetchTable(invocation);
+  if (!snapshot)
+    return ReportFailure(snapshot.Reason());
   Json items = Json::array();
   for (const Table::Row& row : *rows)
     items.push_back(Table::ToJson(row));
   const std::string id =
       invocation.change_id.empty() ? Common::NewId("edit-") : invocation.change_id;
   const Json body = {
-      {"revision", seen->revision}, {"change", id}, {"who", invocation.who}, {"rows", items}};
+      {"revision", snapshot->revision}, {"change", id}, {"who", invocation.who}, {"rows", items}};
   auto applied = invocation.Client().Post("/v1/table/apply", body);
   // An edit that has taken effect is recognized by its change id, so a retry is safe.
   if (!applied && applied.Reason().kind == FailureKind::OutcomeUnknown)
     applied = invocation.Client().Post("/v1/table/apply", body);
   if (!applied)
-    return Report(applied.Reason());
+    return ReportFailure(applied.Reason());
   const auto revision = GetOr(*applied, "revision", std::int64_t(0));
   std::cout << "change " << id << " is revision " << revision << "\n";
-  return invocation.wait ? WaitInForce(invocation, revision) : ExitStatus::Ok;
+  return invocation.wait ? WaitUntilInForce(invocation, revision) : ExitStatus::Ok;
 }
 
 ExitStatus TableShow(const Invocation& invocation)
 {
   const auto json = invocation.Client().Get("/v1/table");
   if (!json)
-    return Report(json.Reason());
+    return ReportFailure(json.Reason());
   if (invocation.json)
   {
     std::cout << json->dump(2) << "\n";
@@ -216,7 +216,7 @@
   for (const Json& row : GetArray(*json, "rows"))
   {
     const auto cell = [&row](const char* key) {
-      return row.contains(key) ? Text(row[key]) : "";
+      return row.contains(key) ? DisplayText(row[key]) : "";
     };
     rows.push_back({cell("kind"), cell("name"), cell("parent"), cell("memory_mb"), cell("replicas"),
                     cell("weight"), cell("limit"), cell("value")});
@@ -229,10 +229,10 @@
 
 ExitStatus TableExport(const Invocation& invocation)
 {
-  const auto seen = FetchTable(invocation);
-  if (!seen)
-    return Report(seen.Reason());
-  std::cout << Table::WriteCsv(Table::RowsWithoutVersions(seen->rows));
+  const auto snapshot = FetchTable(invocation);
+  if (!snapshot)
+    return ReportFailure(snapshot.Reason());
+  std::cout << Table::WriteCsv(Table::RowsWithoutVersions(snapshot->rows));
   return ExitStatus::Ok;
 }
 
@@ -241,7 +241,7 @@
   const auto json =
       invocation.Client().Get("/v1/table/history?count=" + std::to_string(invocation.count));
   if (!json)
-    return Report(json.Reason());
+    return ReportFailure(json.Reason());
   if (invocation.json)
   {
     std::cout << json->dump(2) << "\n";
@@ -249,8 +249,9 @@
   }
   std::vector<std::vector<std::string>> rows;
   for (const Json& change : GetArray(*json, "changes"))
-    rows.push_back({Text(change["revision"]), Text(change["when"]), Text(change["who"]),
-                    Text(change["id"]), std::to_string(GetArray(change, "put").size()),
+    rows.push_back({DisplayText(change["revision"]), DisplayText(change["when"]),
+                    DisplayText(change["who"]), DisplayText(change["id"]),
+                    std::to_string(GetArray(change, "put").size()),
                     std::to_string(GetArray(change, "removed").size())});
   PrintColumns({"REVISION", "WHEN", "WHO", "CHANGE", "PUT", "REMOVED"}, rows);
   return ExitStatus::Ok;
@@ -260,7 +261,7 @@
 {
   const auto dump = invocation.Client().Get("/dump");
   if (!dump)
-    return Report(dump.Reason());
+    return ReportFailure(dump.Reason());
   const Json daemons = GetArray(*dump, "daemons");
   if (invocation.json)
   {
@@ -269,9 +270,9 @@
   }
   std::vector<std::vector<std::string>> rows;
   for (const Json& daemon : daemons)
-    rows.push_back({Text(daemon["vm"]), Text(daemon["data_centre"]),
+    rows.push_back({DisplayText(daemon["vm"]), DisplayText(daemon["data_centre"]),
                     GetOr(daemon, "alive", false) ? "alive" : "silent",
-                    Text(daemon["table_revision"])});
+                    DisplayText(daemon["table_revision"])});
   PrintColumns({"VM", "DATA_CENTRE", "STATE", "REVISION"}, rows);
   return ExitStatus::Ok;
 }
