--- a/Source/LoadTool/Main.cpp
+++ b/Source/LoadTool/Main.cpp
@@ -63,23 +63,25 @@
 }
 
 /// Selects models at random, weighted by a power law of their rank.
-class Popularity
+class ModelPopularity
 {
 public:
-  Popularity(std::size_t count, double exponent)
+  ModelPopularity(std::size_t count, double exponent)
   {
     for (std::size_t rank = 1; rank <= count; ++rank)
-      m_sums.push_back((m_sums.empty() ? 0 : m_sums.back()) +
-                       std::pow(static_cast<double>(rank), -exponent));
+      m_cumulative_weights.push_back(
+          (m_cumulative_weights.empty() ? 0 : m_cumulative_weights.back()) +
+          std::pow(static_cast<double>(rank), -exponent));
   }
   std::size_t Draw(Random& random) const
   {
-    const double value = Uniform(random) * m_sums.back();
-    return static_cast<std::size_t>(std::ranges::lower_bound(m_sums, value) - m_sums.begin());
+    const double value = Uniform(random) * m_cumulative_weights.back();
+    return static_cast<std::size_t>(std::ranges::lower_bound(m_cumulative_weights, value) -
+                                    m_cumulative_weights.begin());
   }
 
 private:
-  std::vector<double> m_sums;
+  std::vector<double> m_cumulative_weights;
 };
 
 /// Generates the trace: chat requests and jobs as Poisson arrivals, and bursts of chat requests for
@@ -87,9 +89,9 @@
 std::vector<Arrival> MakeTrace(const Options& options)
 {
   Random random(options.seed);
-  const Popularity popularity(options.models.size(), options.exponent);
+  const ModelPopularity popularity(options.models.size(), options.exponent);
   std::vector<Arrival> trace;
-  const auto poisson = [&](double rate, bool job) {
+  const auto add_poisson_arrivals = [&](double rate, bool job) {
     for (double at = 0; rate > 0;)
     {
       at -= std::log(1 - Uniform(random)) / rate;
@@ -98,8 +100,8 @@
       trace.push_back({at, popularity.Draw(random), random() % options.targets.size(), job});
     }
   };
-  poisson(options.rate, false);
-  poisson(options.jobs_rate, true);
+  add_poisson_arrivals(options.rate, false);
+  add_poisson_arrivals(options.jobs_rate, true);
   for (double at = options.burst_every; options.burst_every > 0 && at < options.seconds;
        at += options.burst_every)
   {
@@ -114,31 +116,31 @@
   return trace;
 }
 
-struct Measured
+struct Measurements
 {
   LoadTool::Samples cold;
   LoadTool::Samples warm;
-  LoadTool::Samples between_tokens;
+  LoadTool::Samples between_chunks;
   LoadTool::Samples refusal;
   std::map<std::string, int> outcomes;
   std::int64_t tokens = 0;
-  int late = 0;
-  int open = 0;
+  int late_first_tokens = 0;
+  int open_requests = 0;
 };
 
-double MillisecondsSince(TimePoint began)
+double MillisecondsSince(TimePoint start_time)
 {
-  return std::chrono::duration<double, std::milli>(Now() - began).count();
+  return std::chrono::duration<double, std::milli>(Now() - start_time).count();
 }
 
-class Sender
+class LoadGenerator
 {
 public:
-  explicit Sender(const Options& options) : m_options(options) {}
+  explicit LoadGenerator(const Options& options) : m_options(options) {}
 
-  Task<void> Chat(std::string target, std::string model)
+  Task<void> SendChat(std::string target, std::string model)
   {
-    ++m_measured.open;
+    ++m_measurements.open_requests;
     Http::Request request;
     request.method = "POST";
     request.url = target + "/v1/chat/completions";
@@ -151,20 +153,20 @@
                        {"max_tokens", m_options.tokens},
                        {"messages", Json::array({message})}};
     request.body = Common::DumpJson(body);
-    const TimePoint began = Now();
+    const TimePoint start_time = Now();
     auto opened = co_await m_client.Open(std::move(request));
     if (!opened)
-      Count("broken");
+      CountOutcome("broken");
     else if ((*opened)->Status() != 200)
-      co_await TakeRefusal(**opened, began);
+      co_await ReadRefusal(**opened, start_time);
     else
-      co_await TakeStream(**opened, began);
-    --m_measured.open;
+      co_await ReadStream(**opened, start_time);
+    --m_measurements.open_requests;
   }
 
-  Task<void> Job(std::string target, std::string model)
+  Task<void> SendJob(std::string target, std::string model)
   {
-    ++m_measured.open;
+    ++m_measurements.open_requests;
     Http::Request request;
     request.method = "POST";
     request.url = target + "/v1/jobs";
@@ -172,27 +174,27 @@
     const Json body = {{"model", model}, {"messages", Json::array({message})}};
     request.body = Common::DumpJson(body);
     const auto response = co_await m_client.Send(std::move(request));
-    Count(response && response->status == 202 ? "job_accepted" : "job_refused");
-    --m_measured.open;
+    CountOutcome(response && response->status == 202 ? "job_accepted" : "job_refused");
+    --m_measurements.open_requests;
   }
 
-  const Measured& Result() const { return m_measured; }
+  const Measurements& GetMeasurements() const { return m_measurements; }
 
 private:
-  void Count(const std::string& outcome) { ++m_measured.outcomes[outcome]; }
+  void CountOutcome(const std::string& outcome) { ++m_measurements.outcomes[outcome]; }
 
-  Task<void> TakeRefusal(Http::ResponseStream& stream, TimePoint began)
+  Task<void> ReadRefusal(Http::ResponseStream& stream, TimePoint start_time)
   {
-    Count("status_" + std::to_string(stream.Status()));
-    m_measured.refusal.Add(MillisecondsSince(began));
+    CountOutcome("status_" + std::to_string(stream.Status()));
+    m_measurements.refusal.Add(MillisecondsSince(start_time));
     co_await stream.Read(Milliseconds(1000));
   }
 
-  Task<void> TakeStream(Http::ResponseStream& stream, TimePoint began)
+  Task<void> ReadStream(Http::ResponseStream& stream, TimePoint start_time)
   {
     bool first = true;
     std::string tail;
-    TimePoint last = began;
+    TimePoint last = start_time;
     while (true)
     {
       auto chunk = co_await stream.Read(Milliseconds(20000));
@@ -202,26 +204,26 @@
       const auto start = headers.find("x-drumpond-start");
       const bool cold = start != headers.end() && start->second == "cold";
       if (first)
-        (cold ? m_measured.cold : m_measured.warm).Add(MillisecondsSince(began));
+        (cold ? m_measurements.cold : m_measurements.warm).Add(MillisecondsSince(start_time));
       else
-        m_measured.between_tokens.Add(MillisecondsSince(last));
-      if (first && MillisecondsSince(began) > static_cast<double>(m_options.deadline_ms))
-        ++m_measured.late;
+        m_measurements.between_chunks.Add(MillisecondsSince(last));
+      if (first && MillisecondsSince(start_time) > static_cast<double>(m_options.deadline_ms))
+        ++m_measurements.late_first_tokens;
       first = false;
       last = Now();
       for (std::size_t at = chunk->find("data: "); at != std::string::npos;
            at = chunk->find("data: ", at + 1))
-        ++m_measured.tokens;
+        ++m_measurements.tokens;
       tail += *chunk;
       if (tail.size() > TAIL_BYTES)
         tail.erase(0, tail.size() - TAIL_BYTES);
     }
-    Count(tail.ends_with("[DONE]\n\n") ? "ok" : "broken");
+    CountOutcome(tail.ends_with("[DONE]\n\n") ? "ok" : "broken");
   }
 
   const Options& m_options;
   Http::Client m_client;
-  Measured m_measured;
+  Measurements m_measurements;
 };
 
 void RunUntil(const std::function<bool()>& condition)
@@ -240,39 +242,41 @@
     g_main_context_iteration(nullptr, TRUE);
 }
 
-void RunTrace(const Options& options, Sender& sender)
+void RunTrace(const Options& options, LoadGenerator& generator)
 {
   const auto trace = MakeTrace(options);
   std::size_t next = 0;
-  const TimePoint began = Now();
+  const TimePoint start_time = Now();
   RunUntil([&] {
-    const double now_s = MillisecondsSince(began) / 1000;
+    const double now_s = MillisecondsSince(start_time) / 1000;
     while (next < trace.size() && trace[next].at_s <= now_s)
     {
       const Arrival& arrival = trace[next++];
       const std::string& target = options.targets[arrival.target];
       const std::string& model = options.models[arrival.model];
-      Common::Spawn(arrival.job ? sender.Job(target, model) : sender.Chat(target, model));
+      Common::Spawn(arrival.job ? generator.SendJob(target, model)
+                                : generator.SendChat(target, model));
     }
-    return next == trace.size() && sender.Result().open == 0;
+    return next == trace.size() && generator.GetMeasurements().open_requests == 0;
   });
 }
 
 /// Sends chat requests one after another until `end`.
-Task<void> KeepStreaming(const Options& options, Sender& sender, std::size_t number, TimePoint end)
+Task<void> KeepStreaming(const Options& options, LoadGenerator& generator, std::size_t number,
+                         TimePoint end)
 {
   while (Now() < end)
-    co_await sender.Chat(options.targets[number % options.targets.size()],
-                         options.models[number % options.models.size()]);
+    co_await generator.SendChat(options.targets[number % options.targets.size()],
+                                options.models[number % options.models.size()]);
 }
 
-void RunStreams(const Options& options, Sender& sender)
+void RunStreams(const Options& options, LoadGenerator& generator)
 {
   const TimePoint end = Now() + Milliseconds(static_cast<std::int64_t>(options.seconds * 1000));
   for (int number = 0; number < options.streams; ++number)
-    Common::Spawn(KeepStreaming(options, sender, static_cast<std::size_t>(number), end));
+    Common::Spawn(KeepStreaming(options, generator, static_cast<std::size_t>(number), end));
   RunUntil([&] {
-    return Now() >= end && sender.Result().open == 0;
+    return Now() >= end && generator.GetMeasurements().open_requests == 0;
   });
 }
 
@@ -300,18 +304,19 @@
   return models;
 }
 
-void Print(const Options& options, const Measured& measured, double took_s)
+void PrintMeasurements(const Options& options, const Measurements& measurements, double elapsed_s)
 {
-  const Json line = {{"label", options.label},
-                     {"seed", options.seed},
-                     {"seconds", took_s},
-                     {"outcomes", measured.outcomes},
-                     {"late", measured.late},
-                     {"tokens_per_s", std::round(static_cast<double>(measured.tokens) / took_s)},
-                     {"cold_first_token", measured.cold.Summary()},
-                     {"warm_first_token", measured.warm.Summary()},
-                     {"between_chunks", measured.between_tokens.Summary()},
-                     {"refusal", measured.refusal.Summary()}};
+  const Json line = {
+      {"label", options.label},
+      {"seed", options.seed},
+      {"seconds", elapsed_s},
+      {"outcomes", measurements.outcomes},
+      {"late", measurements.late_first_tokens},
+      {"tokens_per_s", std::round(static_cast<double>(measurements.tokens) / elapsed_s)},
+      {"cold_first_token", measurements.cold.Summary()},
+      {"warm_first_token", measurements.warm.Summary()},
+      {"between_chunks", measurements.between_chunks.Summary()},
+      {"refusal", measurements.refusal.Summary()}};
   std::cout << Common::DumpJson(line) << "\n";
 }
 } // namespace
@@ -360,13 +365,13 @@
     options.deadline_ms = parsed["deadline-ms"].as<std::int64_t>();
     options.seed = parsed["seed"].as<std::uint64_t>();
     options.label = parsed["label"].as<std::string>();
-    Sender sender(options);
-    const TimePoint began = Now();
+    LoadGenerator generator(options);
+    const TimePoint start_time = Now();
     if (options.streams > 0)
-      RunStreams(options, sender);
+      RunStreams(options, generator);
     else
-      RunTrace(options, sender);
-    Print(options, sender.Result(), MillisecondsSince(began) / 1000);
+      RunTrace(options, generator);
+    PrintMeasurements(options, generator.GetMeasurements(), MillisecondsSince(start_time) / 1000);
     return 0;
   }
   catch (const cxxopts::exceptions::exception& error)
