--- a/Source/ScenarioRunner/Main.cpp
+++ b/Source/ScenarioRunner/Main.cpp
@@ -28,54 +28,54 @@
 using Common::Milliseconds;
 
 /// Resources of one scenario.
-struct World
+struct ScenarioResources
 {
-  explicit World(const std::string& logs) : processes(logs) {}
+  explicit ScenarioResources(const std::string& log_directory) : processes(log_directory) {}
 
   ScenarioRunner::Processes processes;
   std::vector<std::unique_ptr<ScenarioRunner::Relay>> relays;
   Http::Client client;
-  std::map<int, Json> answers;
-  int next_request = 1;
+  std::map<int, Json> responses;
+  int next_request_id = 1;
 };
 
-struct Runner
+struct RunnerState
 {
-  std::string bin;
-  std::string net; ///< First three bytes of all loopback addresses.
-  std::string only;
+  std::string program_directory;
+  std::string network_prefix; ///< First three bytes of all loopback addresses.
+  std::string name_filter;
   std::string log_root;
-  std::unique_ptr<World> world;
+  std::unique_ptr<ScenarioResources> resources;
   int passed = 0;
   int failed = 0;
 };
 
-Runner& TheRunner()
+RunnerState& GetRunner()
 {
-  static Runner s_runner;
+  static RunnerState s_runner;
   return s_runner;
 }
 
-void RunLoopFor(Milliseconds time)
+void RunMainLoopFor(Milliseconds time)
 {
-  bool over = false;
-  Common::CallAfter(time, [&over] {
-    over = true;
+  bool expired = false;
+  Common::CallAfter(time, [&expired] {
+    expired = true;
   });
-  while (!over)
+  while (!expired)
     g_main_context_iteration(nullptr, TRUE);
 }
 
 /// start(name, {program, arguments...}) -> process id
 int LuaStart(lua_State* lua)
 {
-  Runner& runner = TheRunner();
+  RunnerState& runner = GetRunner();
   const std::string name = luaL_checkstring(lua, 1);
   std::vector<std::string> command;
-  for (const Json& part : ScenarioRunner::ToJson(lua, 2))
-    command.push_back(part.is_string() ? part.get<std::string>() : part.dump());
-  command.front() = runner.bin + "/" + command.front();
-  lua_pushinteger(lua, runner.world->processes.Start(name, command));
+  for (const Json& argument : ScenarioRunner::ToJson(lua, 2))
+    command.push_back(argument.is_string() ? argument.get<std::string>() : argument.dump());
+  command.front() = runner.program_directory + "/" + command.front();
+  lua_pushinteger(lua, runner.resources->processes.Start(name, command));
   return 1;
 }
 
@@ -88,7 +88,7 @@
   const auto found = s_signals.find(luaL_checkstring(lua, 2));
   if (found == s_signals.end())
     return luaL_error(lua, "unknown signal");
-  TheRunner().world->processes.Signal(pid, found->second);
+  GetRunner().resources->processes.Signal(pid, found->second);
   return 0;
 }
 
@@ -96,7 +96,7 @@
 int LuaEnded(lua_State* lua)
 {
   const auto status =
-      TheRunner().world->processes.Ended(static_cast<int>(luaL_checkinteger(lua, 1)));
+      GetRunner().resources->processes.ExitStatus(static_cast<int>(luaL_checkinteger(lua, 1)));
   if (status)
     lua_pushinteger(lua, *status);
   else
@@ -106,7 +106,7 @@
 
 int LuaSleep(lua_State* lua)
 {
-  RunLoopFor(Milliseconds(luaL_checkinteger(lua, 1)));
+  RunMainLoopFor(Milliseconds(luaL_checkinteger(lua, 1)));
   return 0;
 }
 
@@ -117,24 +117,24 @@
   return 1;
 }
 
-Common::Task<void> Send(World& world, int id, Http::Request request)
+Common::Task<void> Send(ScenarioResources& resources, int id, Http::Request request)
 {
-  const gint64 began = g_get_monotonic_time();
-  const auto response = co_await world.client.Send(std::move(request));
-  Json answer = Json::object();
+  const gint64 start_us = g_get_monotonic_time();
+  const auto response = co_await resources.client.Send(std::move(request));
+  Json result = Json::object();
   if (response)
-    answer = {
+    result = {
         {"status", response->status}, {"body", response->body}, {"headers", response->headers}};
   else
-    answer = {{"status", 0}, {"error", Common::ToString(response.Reason().kind)}, {"body", ""}};
-  answer["took_ms"] = (g_get_monotonic_time() - began) / 1000;
-  world.answers[id] = answer;
+    result = {{"status", 0}, {"error", Common::ToString(response.Reason().kind)}, {"body", ""}};
+  result["took_ms"] = (g_get_monotonic_time() - start_us) / 1000;
+  resources.responses[id] = result;
 }
 
 /// request{method, url, body, headers, timeout_ms} -> id
 int LuaRequest(lua_State* lua)
 {
-  World& world = *TheRunner().world;
+  ScenarioResources& resources = *GetRunner().resources;
   const Json options = ScenarioRunner::ToJson(lua, 1);
   Http::Request request;
   request.method = Common::GetOr(options, "method", std::string("GET"));
@@ -144,8 +144,8 @@
   if (options.contains("headers"))
     for (const auto& [name, value] : options["headers"].items())
       request.headers[name] = value.is_string() ? value.get<std::string>() : value.dump();
-  const int id = world.next_request++;
-  Common::Spawn(Send(world, id, std::move(request)));
+  const int id = resources.next_request_id++;
+  Common::Spawn(Send(resources, id, std::move(request)));
   lua_pushinteger(lua, id);
   return 1;
 }
@@ -153,9 +153,9 @@
 /// answer(id) -> response, or nil while the request is in flight
 int LuaAnswer(lua_State* lua)
 {
-  const auto& answers = TheRunner().world->answers;
-  const auto found = answers.find(static_cast<int>(luaL_checkinteger(lua, 1)));
-  if (found == answers.end())
+  const auto& responses = GetRunner().resources->responses;
+  const auto found = responses.find(static_cast<int>(luaL_checkinteger(lua, 1)));
+  if (found == responses.end())
     lua_pushnil(lua);
   else
     ScenarioRunner::PushJson(lua, found->second);
@@ -177,21 +177,21 @@
 /// relay(listen, target) -> id
 int LuaRelay(lua_State* lua)
 {
-  World& world = *TheRunner().world;
+  ScenarioResources& resources = *GetRunner().resources;
   auto relay =
       std::make_unique<ScenarioRunner::Relay>(luaL_checkstring(lua, 1), luaL_checkstring(lua, 2));
   const auto opened = relay->Open();
   if (!opened)
     return luaL_error(lua, "%s", opened.Reason().detail.c_str());
-  world.relays.push_back(std::move(relay));
-  lua_pushinteger(lua, static_cast<lua_Integer>(world.relays.size()));
+  resources.relays.push_back(std::move(relay));
+  lua_pushinteger(lua, static_cast<lua_Integer>(resources.relays.size()));
   return 1;
 }
 
 /// cut(relay id, true | false)
 int LuaCut(lua_State* lua)
 {
-  auto& relays = TheRunner().world->relays;
+  auto& relays = GetRunner().resources->relays;
   const auto index = static_cast<std::size_t>(luaL_checkinteger(lua, 1)) - 1;
   if (index >= relays.size())
     return luaL_error(lua, "no such relay");
@@ -208,35 +208,35 @@
 /// scenario(name, function): runs the function with its own processes, relays and log directory.
 int LuaScenario(lua_State* lua)
 {
-  Runner& runner = TheRunner();
+  RunnerState& runner = GetRunner();
   const std::string name = luaL_checkstring(lua, 1);
   luaL_checktype(lua, 2, LUA_TFUNCTION);
-  if (!runner.only.empty() && name.find(runner.only) == std::string::npos)
+  if (!runner.name_filter.empty() && name.find(runner.name_filter) == std::string::npos)
     return 0;
-  const std::string logs = runner.log_root + "/" + name;
-  std::filesystem::remove_all(logs);
-  std::filesystem::create_directories(logs);
-  runner.world = std::make_unique<World>(logs);
-  const gint64 began = g_get_monotonic_time();
+  const std::string log_directory = runner.log_root + "/" + name;
+  std::filesystem::remove_all(log_directory);
+  std::filesystem::create_directories(log_directory);
+  runner.resources = std::make_unique<ScenarioResources>(log_directory);
+  const gint64 start_us = g_get_monotonic_time();
   lua_pushcfunction(lua, Traceback);
   lua_pushvalue(lua, 2);
   const bool passed = lua_pcall(lua, 0, 0, -2) == LUA_OK;
-  const auto took = (g_get_monotonic_time() - began) / 1000;
-  std::cout << (passed ? "pass " : "FAIL ") << name << " (" << took << " ms)\n";
+  const auto elapsed_ms = (g_get_monotonic_time() - start_us) / 1000;
+  std::cout << (passed ? "pass " : "FAIL ") << name << " (" << elapsed_ms << " ms)\n";
   if (!passed)
-    std::cout << "  " << lua_tostring(lua, -1) << "\n  logs: " << logs << "\n";
+    std::cout << "  " << lua_tostring(lua, -1) << "\n  logs: " << log_directory << "\n";
   std::cout.flush();
   ++(passed ? runner.passed : runner.failed);
-  runner.world->processes.EndAll();
+  runner.resources->processes.KillAll();
   // Requests that are still in flight fail now that their peers are gone. Running the loop lets
-  // them finish; until then they refer to the world, which is kept until the program exits.
-  RunLoopFor(Milliseconds(50));
-  static std::vector<std::unique_ptr<World>> s_finished;
-  s_finished.push_back(std::move(runner.world));
+  // them finish; until then they refer to the resources, which are kept until the program exits.
+  RunMainLoopFor(Milliseconds(50));
+  static std::vector<std::unique_ptr<ScenarioResources>> s_finished;
+  s_finished.push_back(std::move(runner.resources));
   return 0;
 }
 
-void Register(lua_State* lua)
+void RegisterFunctions(lua_State* lua)
 {
   const std::map<const char*, lua_CFunction> functions{
       {"scenario", LuaScenario}, {"start", LuaStart},   {"signal", LuaSignal},
@@ -245,7 +245,7 @@
       {"decode", LuaDecode},     {"relay", LuaRelay},   {"cut", LuaCut}};
   for (const auto& [name, function] : functions)
     lua_register(lua, name, function);
-  lua_pushstring(lua, TheRunner().net.c_str());
+  lua_pushstring(lua, GetRunner().network_prefix.c_str());
   lua_setglobal(lua, "NET");
 }
 
@@ -255,18 +255,18 @@
   {
     lua_State* lua = luaL_newstate();
     luaL_openlibs(lua);
-    Register(lua);
-    const std::string folder = std::filesystem::path(file).parent_path().string();
-    const std::string path = "package.path = '" + folder + "/Library/?.lua'";
+    RegisterFunctions(lua);
+    const std::string directory = std::filesystem::path(file).parent_path().string();
+    const std::string path = "package.path = '" + directory + "/Library/?.lua'";
     luaL_dostring(lua, path.c_str());
     if (luaL_dofile(lua, file.c_str()) != LUA_OK)
     {
       std::cout << "FAIL " << file << ": " << lua_tostring(lua, -1) << "\n";
-      ++TheRunner().failed;
+      ++GetRunner().failed;
     }
     lua_close(lua);
   }
-  const Runner& runner = TheRunner();
+  const RunnerState& runner = GetRunner();
   std::cout << runner.passed << " passed, " << runner.failed << " failed\n";
   std::cout.flush();
   return runner.failed == 0 ? 0 : 1;
@@ -290,10 +290,10 @@
   try
   {
     const cxxopts::ParseResult parsed = options.parse(argc, argv);
-    Runner& runner = TheRunner();
-    runner.bin = parsed["bin"].as<std::string>();
-    runner.net = parsed["net"].as<std::string>();
-    runner.only = parsed["only"].as<std::string>();
+    RunnerState& runner = GetRunner();
+    runner.program_directory = parsed["bin"].as<std::string>();
+    runner.network_prefix = parsed["net"].as<std::string>();
+    runner.name_filter = parsed["only"].as<std::string>();
     runner.log_root = parsed["logs"].as<std::string>();
     const int status = RunFiles(parsed["files"].as<std::vector<std::string>>());
     std::_Exit(status);
--- a/Source/ScenarioRunner/Processes.cpp
+++ b/Source/ScenarioRunner/Processes.cpp
@@ -15,7 +15,7 @@
 {
 Processes::~Processes()
 {
-  EndAll();
+  KillAll();
 }
 
 int Processes::Start(const std::string& name, const std::vector<std::string>& command)
@@ -26,13 +26,13 @@
   });
   arguments.push_back(nullptr);
   const std::string log = m_log_directory + "/" + name + ".log";
-  const pid_t runner = getpid();
+  const pid_t parent = getpid();
   const pid_t pid = fork();
   if (pid == 0)
   {
     // The kernel kills this process when the scenario runner dies, so that no process is left over.
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != runner)
+    if (getppid() != parent)
       _exit(1);
     const int file = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
     dup2(file, STDOUT_FILENO);
@@ -50,11 +50,11 @@
   // Signals only processes that were started here and not reaped yet: the kernel cannot have reused
   // their ids.
   const auto found = m_processes.find(pid);
-  if (found != m_processes.end() && !Ended(pid))
+  if (found != m_processes.end() && !ExitStatus(pid))
     kill(pid, signal);
 }
 
-std::optional<int> Processes::Ended(int pid)
+std::optional<int> Processes::ExitStatus(int pid)
 {
   const auto found = m_processes.find(pid);
   if (found == m_processes.end())
@@ -67,7 +67,7 @@
   return found->second;
 }
 
-void Processes::EndAll()
+void Processes::KillAll()
 {
   for (const auto& [pid, status] : m_processes)
     if (!status)
--- a/Source/ScenarioRunner/Processes.h
+++ b/Source/ScenarioRunner/Processes.h
@@ -25,8 +25,8 @@
   void Signal(int pid, int signal);
   /// Returns the exit status, or 128 + the signal that killed the process. Returns nullopt while
   /// the process runs, and for processes not started here.
-  std::optional<int> Ended(int pid);
-  void EndAll();
+  std::optional<int> ExitStatus(int pid);
+  void KillAll();
 
 private:
   std::string m_log_directory;
--- a/Source/ScenarioRunner/Relay.cpp
+++ b/Source/ScenarioRunner/Relay.cpp
@@ -17,9 +17,9 @@
 using Common::Task;
 using Http::GRef;
 
-constexpr Common::Milliseconds CUT_POLL{20};
+constexpr Common::Milliseconds CUT_POLL_INTERVAL{20};
 
-GRef<GSocketAddress> Parse(const std::string& address)
+GRef<GSocketAddress> ParseAddress(const std::string& address)
 {
   const auto colon = address.rfind(':');
   return GRef<GSocketAddress>(g_inet_socket_address_new_from_string(
@@ -40,20 +40,20 @@
 
 Result<Done> Relay::Open()
 {
-  const auto address = Parse(m_listen);
+  const auto address = ParseAddress(m_listen);
   m_service = GRef<GSocketService>(g_socket_service_new());
   if (!g_socket_listener_add_address(G_SOCKET_LISTENER(m_service.Get()), address.Get(),
                                      G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, nullptr, nullptr,
                                      nullptr))
     return {FailureKind::Unavailable, "cannot listen on " + m_listen};
-  g_signal_connect(
-      m_service.Get(), "incoming",
-      G_CALLBACK(
-          +[](GSocketService*, GSocketConnection* near, GObject*, gpointer data) -> gboolean {
-            Common::Spawn(static_cast<Relay*>(data)->Serve(GRef<GSocketConnection>::Share(near)));
-            return TRUE;
-          }),
-      this);
+  g_signal_connect(m_service.Get(), "incoming",
+                   G_CALLBACK(+[](GSocketService*, GSocketConnection* inbound, GObject*,
+                                  gpointer data) -> gboolean {
+                     Common::Spawn(static_cast<Relay*>(data)->HandleConnection(
+                         GRef<GSocketConnection>::Share(inbound)));
+                     return TRUE;
+                   }),
+                   this);
   m_udp = GRef<GSocket>(
       g_socket_new(G_SOCKET_FAMILY_IPV4, G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP, nullptr));
   if (!g_socket_bind(m_udp.Get(), address.Get(), FALSE, nullptr))
@@ -62,7 +62,7 @@
   GSource* source = g_socket_create_source(m_udp.Get(), G_IO_IN, nullptr);
   g_source_set_callback(source,
                         G_SOURCE_FUNC(+[](GSocket*, GIOCondition, gpointer data) -> gboolean {
-                          static_cast<Relay*>(data)->PassDatagrams();
+                          static_cast<Relay*>(data)->ForwardDatagrams();
                           return G_SOURCE_CONTINUE;
                         }),
                         this, nullptr);
@@ -71,10 +71,10 @@
   return Done{};
 }
 
-void Relay::PassDatagrams()
+void Relay::ForwardDatagrams()
 {
   std::array<char, 2048> buffer;
-  const auto target = Parse(m_target);
+  const auto target = ParseAddress(m_target);
   while (true)
   {
     const gssize size =
@@ -87,28 +87,29 @@
   }
 }
 
-Task<void> Relay::Serve(GRef<GSocketConnection> near)
+Task<void> Relay::HandleConnection(GRef<GSocketConnection> inbound)
 {
   while (m_cut)
-    co_await Common::Sleep{CUT_POLL};
+    co_await Common::Sleep{CUT_POLL_INTERVAL};
   const GRef<GSocketClient> client(g_socket_client_new());
-  const auto target = Parse(m_target);
+  const auto target = ParseAddress(m_target);
   Http::GioAwait await;
   g_socket_client_connect_async(client.Get(), G_SOCKET_CONNECTABLE(target.Get()), nullptr,
                                 Http::GioAwait::Ready, &await);
   co_await await;
-  GRef<GSocketConnection> far(g_socket_client_connect_finish(client.Get(), await.Get(), nullptr));
-  if (!far)
+  GRef<GSocketConnection> outbound(
+      g_socket_client_connect_finish(client.Get(), await.Get(), nullptr));
+  if (!outbound)
     co_return;
-  const auto pair = std::make_shared<Pair>(Pair{near, far});
-  Common::Spawn(Copy(pair, false));
-  co_await Copy(pair, true);
+  const auto pair = std::make_shared<ConnectionPair>(ConnectionPair{inbound, outbound});
+  Common::Spawn(ForwardData(pair, false));
+  co_await ForwardData(pair, true);
 }
 
-Task<void> Relay::Copy(std::shared_ptr<Pair> pair, bool to_far)
+Task<void> Relay::ForwardData(std::shared_ptr<ConnectionPair> pair, bool to_target)
 {
-  GSocketConnection* from = to_far ? pair->near.Get() : pair->far.Get();
-  GSocketConnection* to = to_far ? pair->far.Get() : pair->near.Get();
+  GSocketConnection* from = to_target ? pair->inbound.Get() : pair->outbound.Get();
+  GSocketConnection* to = to_target ? pair->outbound.Get() : pair->inbound.Get();
   std::array<char, 16384> buffer;
   while (true)
   {
@@ -120,7 +121,7 @@
     const gssize size = g_input_stream_read_finish(g_io_stream_get_input_stream(G_IO_STREAM(from)),
                                                    reading.Get(), nullptr);
     while (m_cut)
-      co_await Common::Sleep{CUT_POLL};
+      co_await Common::Sleep{CUT_POLL_INTERVAL};
     if (size <= 0)
       break;
     if (m_bytes_per_ms > 0)
@@ -134,7 +135,7 @@
                                           writing.Get(), nullptr, nullptr))
       break;
   }
-  g_socket_shutdown(g_socket_connection_get_socket(pair->near.Get()), TRUE, TRUE, nullptr);
-  g_socket_shutdown(g_socket_connection_get_socket(pair->far.Get()), TRUE, TRUE, nullptr);
+  g_socket_shutdown(g_socket_connection_get_socket(pair->inbound.Get()), TRUE, TRUE, nullptr);
+  g_socket_shutdown(g_socket_connection_get_socket(pair->outbound.Get()), TRUE, TRUE, nullptr);
 }
 } // namespace ScenarioRunner
--- a/Source/ScenarioRunner/Relay.h
+++ b/Source/ScenarioRunner/Relay.h
@@ -31,15 +31,15 @@
   void SetRate(std::int64_t bytes_per_ms) { m_bytes_per_ms = bytes_per_ms; }
 
 private:
-  struct Pair
+  struct ConnectionPair
   {
-    Http::GRef<GSocketConnection> near;
-    Http::GRef<GSocketConnection> far;
+    Http::GRef<GSocketConnection> inbound;
+    Http::GRef<GSocketConnection> outbound;
   };
 
-  Common::Task<void> Serve(Http::GRef<GSocketConnection> near);
-  Common::Task<void> Copy(std::shared_ptr<Pair> pair, bool to_far);
-  void PassDatagrams();
+  Common::Task<void> HandleConnection(Http::GRef<GSocketConnection> inbound);
+  Common::Task<void> ForwardData(std::shared_ptr<ConnectionPair> pair, bool to_target);
+  void ForwardDatagrams();
 
   std::string m_listen;
   std::string m_target;
--- a/Source/StandIns/Soak/Main.cpp
+++ b/Source/StandIns/Soak/Main.cpp
@@ -127,7 +127,7 @@
       Judge();
     });
     g_main_loop_run(m_loop);
-    m_processes.EndAll();
+    m_processes.KillAll();
     std::cout << m_ledger.DescribeCrashers();
     if (m_limits_servers)
       std::cout << m_ledger.LimitedArrivals() << " requests at servers whose limit was known\n";
@@ -447,7 +447,7 @@
   /// still meanwhile could not stop; any other breaks its promise.
   void EndAndLaunch(DaemonSlot& daemon)
   {
-    if (m_processes.Ended(daemon.pid))
+    if (m_processes.ExitStatus(daemon.pid))
     {
       Launch(daemon);
       return;
@@ -521,7 +521,7 @@
   void CheckProcesses()
   {
     for (const DaemonSlot& daemon : m_daemons)
-      if (daemon.expected_to_run && m_processes.Ended(daemon.pid))
+      if (daemon.expected_to_run && m_processes.ExitStatus(daemon.pid))
         m_ledger.Break("ended by itself: " + daemon.name);
   }
 
