--- a/Source/Benchmarks/PermitBenchmark.cpp
+++ b/Source/Benchmarks/PermitBenchmark.cpp
@@ -16,9 +16,9 @@
 using namespace RateLimits;
 
 constexpr std::int64_t DAEMONS = 330;
-constexpr std::int64_t WANTS_A_DAEMON = 8;
+constexpr std::int64_t DEMANDS_PER_DAEMON = 8;
 
-void HolderTakesAWant(benchmark::State& state)
+void UpdateDemandAndGrantPermits(benchmark::State& state)
 {
   const std::int64_t servers = state.range(0);
   auto now = Common::BootClock::now();
@@ -34,7 +34,7 @@
     now += std::chrono::microseconds(450);
     const std::int64_t daemon = ++message % DAEMONS;
     std::vector<PermitDemand> demands;
-    for (std::int64_t i = 0; i < WANTS_A_DAEMON; ++i)
+    for (std::int64_t i = 0; i < DEMANDS_PER_DAEMON; ++i)
       demands.push_back({ServerKey((daemon * 7 + i) % servers), 1, 5, 1000});
     allocator.UpdateDemand({Common::VmId(std::to_string(daemon)), Common::DataCentreId("a")},
                            demands, now);
@@ -42,5 +42,5 @@
     benchmark::DoNotOptimize(allocator.NextGrantAt(now));
   }
 }
-BENCHMARK(HolderTakesAWant)->Arg(10)->Arg(200);
+BENCHMARK(UpdateDemandAndGrantPermits)->Arg(10)->Arg(200);
 } // namespace
