--- a/Source/LoadTool/Main.cpp
+++ b/Source/LoadTool/Main.cpp
@@ -36,27 +36,29 @@
 {
   std::vector<std::string> targets;
   std::vector<std::string> models;
-  double rate = 10;
+  double rate = 10; ///< Chat requests per second.
   double seconds = 10;
-  double exponent = 1.0;
-  double burst_every = 0;
+  double exponent = 1.0;  ///< Of the power law of model popularity.
+  double burst_every = 0; ///< Seconds between bursts; 0: none.
   int burst_size = 12;
-  int tokens = 8;
+  int tokens = 8;  ///< Per response.
   int streams = 0; ///< Number of streams in a closed loop; 0: open loop with a trace.
   std::int64_t deadline_ms = 30000;
   std::uint64_t seed = 1;
-  double jobs_rate = 0;
+  double jobs_rate = 0; ///< Bulk jobs per second.
   std::string label;
 };
 
+/// A request of the trace.
 struct Arrival
 {
-  double at_s = 0;
-  std::size_t model = 0;
-  std::size_t target = 0;
-  bool job = false;
+  double at_s = 0;        ///< Since the start of the trace.
+  std::size_t model = 0;  ///< Index in `Options::models`.
+  std::size_t target = 0; ///< Index in `Options::targets`.
+  bool job = false;       ///< A bulk job instead of a chat request.
 };
 
+/// Returns a random number in [0, 1).
 double Uniform(Random& random)
 {
   return static_cast<double>(random() >> 11) * 0x1.0p-53;
@@ -118,13 +120,15 @@
 
 struct Measurements
 {
+  /// Time to the first chunk if the response header X-Drumpond-Start is "cold": no replica was
+  /// available when the request arrived.
   LoadTool::Samples cold;
-  LoadTool::Samples warm;
+  LoadTool::Samples warm; ///< Time to the first chunk of all other responses.
   LoadTool::Samples between_chunks;
-  LoadTool::Samples refusal;
+  LoadTool::Samples refusal; ///< Time to a response with a status other than 200.
   std::map<std::string, int> outcomes;
   std::int64_t tokens = 0;
-  int late_first_tokens = 0;
+  int late_first_tokens = 0; ///< Responses whose first chunk came after the deadline.
   int open_requests = 0;
 };
 
