--- a/Source/Benchmarks/PlanBenchmark.cpp
+++ b/Source/Benchmarks/PlanBenchmark.cpp
@@ -158,6 +158,7 @@
     benchmark::DoNotOptimize(ReferencePlan::PlanReplicas(input));
 }
 
+/// Arguments: servers, models, models with waiting requests.
 BENCHMARK(PlanReplicasReference)
     ->Args({10, 50, 20})
     ->Args({77, 520, 150})
@@ -165,7 +166,8 @@
     ->Args({256, 1375, 600})
     ->Unit(benchmark::kMillisecond);
 
-/// Arguments: servers, models, waiting requests.
+/// Arguments: servers, models, waiting requests. Each daemon reports an equal share of the
+/// requests, rounded down, plus one: 20 become 300, 600 become 900.
 BENCHMARK(PlanReplicas)
     ->Args({10, 50, 20})
     ->Args({77, 520, 150})
