--- a/Models/Claim.pml
+++ b/Models/Claim.pml
@@ -1,31 +1,32 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * Claim, fence, late order, quarantine. Stands for Source/Core/Decisions/Reconcile.cpp and
- * Source/Core/Serving/{ClaimLedger,ServerRow,ServerController}.cpp.
+ * Claims of replica slots, fencing, late orders and quarantine. Models Source/Core/Decisions/Reconcile.cpp
+ * and Source/Core/Serving/{ClaimLedger,ServerRow,ServerController}.cpp.
  *
  * One replica slot, two backend servers, two daemons with two claims each. A daemon claims the slot
- * for a server in one compare-and-set and then sends one load order, any time later; the network
- * holds it back for any time; the daemon may die in between. A keeper settles the claim by what
- * the engine reports. It may take the holder for silent at any moment: a frozen daemon cannot be
- * told from a slow one. Server 0 checks fencing numbers, server 1 ignores them.
+ * for a server by one compare-and-set and then sends one load order at any later time. The network
+ * may delay the order for any time, and the daemon may terminate in between. A reconciler settles the
+ * claim from the server's reports. It may treat the holder as unresponsive at any moment, because a
+ * suspended daemon cannot be told from a slow one. Server 0 checks fencing numbers, server 1 ignores
+ * them.
  *
- * Proved: never more replicas loaded than slots, and nothing loaded that no claim counts.
+ * Verified: there are never more loaded replicas than slots, and nothing is loaded without a claim.
  * guards: NO_CLAIM NO_FENCE NO_QUARANTINE */
 
 #define NONE 9
 #define CHECKS(server) ((server) == 0)
 
 byte claimed = NONE;     /* the server of the claim on the slot */
-byte claim_order;        /* the order that the claim allows */
-bool claim_loaded;       /* its order has a definite outcome */
-bool claim_fenced;       /* the engine has confirmed a number above the claim's */
+byte claim_order;        /* number of the order that the claim permits */
+bool claim_loaded;       /* its order is known to have completed */
+bool claim_fenced;       /* the server has confirmed a number above the claim's */
 byte row_fence[2];       /* in the platform's row of the server */
-byte engine_fence[2];    /* the highest that the engine has seen */
+byte engine_fence[2];    /* highest number that the server has seen */
 bool loaded[2];
 bool dead[2];
 
-/* orders: number of the daemon * 2 + its try */
+/* Index of an order: number of the daemon * 2 + its attempt. */
 mtype = { unsent, flying, arrived };
 mtype order[4] = unsent;
 byte order_fence[4];
@@ -51,7 +52,7 @@
 #endif
        ; order_fence[number] = row_fence[server]; order_server[number] = server
      }
-     /* a freeze may lie here, and the daemon does not notice it */
+     /* The daemon may be suspended here without noticing. */
      if
      :: order[number] = flying
      :: atomic { dead[me] = true; break }
--- a/Models/CrashingRequest.pml
+++ b/Models/CrashingRequest.pml
@@ -1,17 +1,17 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * A request that ends every server that runs it comes again at any daemon. Stands for
- * Source/Core/Crashes/CrashLedger.cpp, what Orders/Hub.cpp does with it, and Orders/CrashArchive.cpp.
+ * A request that crashes every server that runs it is sent again at any daemon. Models
+ * Source/Core/Crashes/CrashLedger.cpp, its use in Orders/Hub.cpp, and Orders/CrashArchive.cpp.
  *
- * Each daemon remembers the endings that it saw and heard of. It reports what it saw to the holder
- * until that has confirmed it; reports, confirmations and the holder's words may be lost, or come
- * late and again. The holder may change at any time: the next one has only what it knew itself.
- * Once either one daemon or all of them are killed at any moment; when the row is written all may
- * be killed again. Who starts knows what the row keeps.
+ * Each daemon remembers the crashes that it observed or was told of. It reports its observations to the
+ * holder of the order lease until the holder has confirmed them. Reports, confirmations and the holder's
+ * updates may be lost, delayed or duplicated. The holder may change at any time; the next one has only
+ * what it knew itself. At any moment one daemon or all of them are killed, once; after the row is
+ * written, all may be killed once more. A daemon that starts knows what the row contains.
  *
- * Proved: when all words have come through after the third ending, the request is sent never again
- * where nobody was killed before, and three times more at most, for all time, where some were.
+ * Verified: once all messages after the third crash have arrived, the request is never sent again if no
+ * daemon was killed before, and at most three more times in total if some were.
  * guards: EACH_ALONE NOT_TOLD_AGAIN NOTHING_KEPT */
 
 #define DAEMONS 2
@@ -19,14 +19,14 @@
 #define LIVES 7
 #define LATE_ALLOWED 3
 
-byte ended = 0;            /* lives of servers; life i is bit i of the sets below */
-byte own[DAEMONS];         /* seen by the daemon itself */
-byte known[DAEMONS];       /* and heard of */
-byte confirmed[DAEMONS];   /* of what it saw, by the present holder */
-byte added_up = 0;         /* by the holder */
-byte row = 0;              /* in the store */
-byte late = 0;             /* sendings when all daemons had to know */
-bool told = false;         /* all words came through after the third ending */
+byte ended = 0;            /* crashed server instances; instance i is bit i of the sets below */
+byte own[DAEMONS];         /* observed by the daemon itself */
+byte known[DAEMONS];       /* observed, or received from the holder */
+byte confirmed[DAEMONS];   /* its observations that the current holder has confirmed */
+byte added_up = 0;         /* all crashes known to the holder */
+byte row = 0;              /* stored on the platform */
+byte late = 0;             /* requests sent when all daemons had to know */
+bool told = false;         /* all messages after the third crash have arrived */
 bool lost_something = false;
 byte killed_later = 0;
 byte holder_changes = 0;
@@ -81,7 +81,7 @@
   :: atomic { Missing(known[d], added_up) -> known[d] = known[d] | added_up }
 #endif
   :: atomic { !lost_something -> lost_something = true; Forget(d) }
-  :: atomic { /* it takes the lease */
+  :: atomic { /* the daemon takes the lease */
        holder_changes < 1 ->
        holder_changes++;
        added_up = known[d];
--- a/Models/KeyTrust.pml
+++ b/Models/KeyTrust.pml
@@ -1,16 +1,16 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * How long a daemon acts on a key that an operator may have taken away. Stands for
+ * How long a daemon accepts a client key after an operator may have revoked it. Models
  * Source/Core/Accounts/KeyFreshness.cpp, Orders/TableFollower.h and the echo in Orders/Hub.cpp.
  *
- * The holder of the order lease asks the store; the answer may travel for any time. It writes words
- * for the daemon, each with its configuration, the age of its proof and the echo of the daemon's
- * last report; they may lie in the daemon's socket for any time, as where it is frozen, and words
- * may be lost. The daemon may start anew, with an old configuration from whoever has one. Time
- * passes between any two steps.
+ * The holder of the order lease queries the store; the response may be in transit for any time. The
+ * holder writes updates for the daemon, each with the holder's configuration, the age of its proof and the
+ * echo of the daemon's last report. Updates may be lost, or wait in the daemon's socket for any time, for
+ * instance while the daemon is suspended. The daemon may restart with an old configuration from any
+ * source. Time may pass between any two steps.
  *
- * Proved: no request that comes later than LIMIT after the key was taken away runs with it.
+ * Verified: no request that arrives more than LIMIT after the key was revoked runs with it.
  * guards: AGE_FROM_ARRIVAL PROOF_FROM_ANSWER START_TRUSTS */
 
 #define LIMIT 1
@@ -24,15 +24,15 @@
 
 /* The holder. */
 bool asking = false;
-bool answered = false;   /* by the store; the answer is on its way */
+bool answered = false;   /* the store has replied; the response is in transit */
 byte asked_at = 0;
 bool answer_revoked = false;
-bool holder_knows = false; /* that the key is gone */
+bool holder_knows = false; /* that the key is revoked */
 byte holder_proof = NEVER;
 byte heard_report = NEVER;
 byte heard_at = 0;
 
-/* A word on its way to the daemon. */
+/* An update in transit to the daemon. */
 bool word = false;
 bool word_revoked;
 byte word_age;
@@ -94,7 +94,7 @@
 #ifdef AGE_FROM_ARRIVAL
   proof = now - word_age;
 #else
-  /* Not before this was the word written; the age may reach back beyond the beginning. */
+  /* The update was written no earlier than this; its age may reach back to before the start. */
   proof = sent_at[word_report] + word_held;
   proof = (proof > word_age -> proof - word_age : 0);
 #endif
@@ -121,7 +121,7 @@
 #endif
      }
   :: atomic { !daemon_knows && daemon_proof != NEVER && now - daemon_proof <= LIMIT ->
-       /* A request comes now and runs with the key. */
+       /* A request arrives now and runs with the key. */
        assert(!revoked || now - revoked_at <= LIMIT) }
   :: now == END_OF_TIME -> break
   od
--- a/Models/Once.pml
+++ b/Models/Once.pml
@@ -1,20 +1,20 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * A call that may not be repeated, with lost answers of the platform. Stands for
+ * A call that is not repeatable, with lost responses of the platform. Models
  * Source/Core/Callers/PlainServices.cpp and Source/Core/Platform/Store.h.
  *
- * Three requests with one key come to three daemons. Each writes the record before it sends; the
- * answer to the write may be lost, and the receipt then tells what became of it. The call may fail
- * before it is sent, break off after it ran, or its daemon may die.
+ * Three requests with the same key arrive at three daemons. Each writes the record before it sends the
+ * call. The response to the write may be lost; the receipt then shows whether the write was committed.
+ * The call may fail before it is sent or break off after it ran, and its daemon may terminate.
  *
- * Proved: the call runs at most once, and who is told "not run" has not run it.
+ * Verified: the call runs at most once, and it has not run for a request that was answered "not run".
  * guards: NO_RECORD GUESS_COMMITTED RETRY_BROKEN */
 
 mtype = { none, started, done, not_run, unknown };
 mtype record = none;
-byte version = 0;   /* of the record: each write adds one */
-byte written_by = 9; /* the receipt: whose write made this version */
+byte version = 0;   /* of the record: each write increments it */
+byte written_by = 9; /* the receipt: request that wrote this version */
 byte runs = 0;
 byte runs_of[3];
 bool told_not_run[3];
@@ -41,7 +41,7 @@
   if
   :: answered -> skip
   :: else ->
-     /* the answer was lost: the receipt tells */
+     /* The response was lost: the receipt shows whether the write was committed. */
 #ifdef GUESS_COMMITTED
      committed = true
 #else
@@ -55,7 +55,7 @@
   atomic { read = record; seen = version };
   if
   :: read == not_run -> goto begin
-  :: else -> goto over  /* told the kept answer, or that it may have run */
+  :: else -> goto over  /* gets the stored response, or an error that it may have run */
   fi;
 send:
   if
@@ -69,9 +69,9 @@
         atomic { runs++; runs_of[me]++ };
 #endif
         atomic { record = unknown; version++; written_by = 9 }
-     :: skip  /* the daemon died: the record stays started */
+     :: skip  /* the daemon terminated: the record stays "started" */
      fi
-  :: skip  /* the daemon died before it sent */
+  :: skip  /* the daemon terminated before it sent the call */
   fi;
 over:
   assert(runs <= 1);
--- a/Models/OrderLease.pml
+++ b/Models/OrderLease.pml
@@ -1,15 +1,17 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * The lease of the daemon that orders backend servers (Source/Core/Orders/LeaseManager.h). Two daemons; time
- * passes in ticks at any point, so a daemon may be frozen between any two of its steps. A write to the
- * store may be answered late, or its answer lost. Claimed: the server never takes orders of two daemons
- * within PAUSE ticks, and fences never go down.
+ * The lease of the daemon that sends orders to backend servers. Models Source/Core/Orders/LeaseManager.h.
  *
- * An order leaves after it was decided on: its connection has to come first. What was decided on is
- * dropped where the lease is over when it would leave.
+ * Two daemons. Time passes in ticks at any point, so a daemon may be suspended between any two of its
+ * steps. The response to a write to the store may be delayed or lost. An order leaves some time after it
+ * was decided on, because its connection has to be established first. It is dropped if the lease is
+ * over by the time at which it would leave.
  *
- * Each switch takes one guard out.
+ * Verified: the server never receives orders of two daemons within PAUSE ticks, and fences never
+ * decrease.
+ *
+ * Each name below is a switch that removes one guard.
  * guards: NO_CHECK_WHEN_LEAVING COUNT_FROM_ANSWER NO_PAUSE BLIND_WRITE NO_WAIT NO_ORDERING_MARK */
 
 #define DURATION 1
@@ -22,7 +24,7 @@
 byte now = 0;
 byte writes = 0;
 
-/* The connections of orders that have not left are reset with the lease's loss. */
+/* When the lease is lost, the connections of orders that have not left are reset. */
 #ifdef NO_CHECK_WHEN_LEAVING
 #define LOSE_ORDERS skip
 #else
@@ -32,9 +34,9 @@
 /* The row in the store. */
 byte row_version = 0;
 byte row_holder = NOBODY;
-bool row_ordering = false; /* its holder has been through the pause */
+bool row_ordering = false; /* its holder has completed the pause */
 
-/* What the server has taken. */
+/* Last order that the server received. */
 byte last_daemon = NOBODY;
 byte last_order_at = 0;
 byte last_fence = 0;
@@ -58,7 +60,7 @@
   byte valid_until = 0;
   byte orders_from = 0;
   byte fence = 0;
-  bool pending = false; /* an order was decided on */
+  bool pending = false; /* an order was decided on and has not left */
   bool answered;
   bool written;
   bool follows_another;
@@ -76,7 +78,7 @@
        seen_at = now
      }
 
-  /* Acquires or renews. */
+  /* Acquires or renews the lease. */
   :: writes < MOST_WRITES && ((fence != 0 && now < valid_until) ||
 #ifdef NO_WAIT
      true
@@ -105,7 +107,7 @@
        :: written -> row_version++; row_holder = me; row_ordering = begun
        :: else -> skip
        fi;
-       /* The answer comes late, or never. */
+       /* The response is delayed or lost. */
        if
        :: answered = true
        :: answered = false
@@ -143,7 +145,7 @@
         begun = false
      }
 
-  /* Gives it back. */
+  /* Releases the lease. */
   :: writes < MOST_WRITES && fence != 0 && seen_holder == me ->
      atomic {
        fence = 0;
@@ -155,7 +157,7 @@
        fi
      }
 
-  /* Its time is over, or the row is another's. */
+  /* The lease has expired, or another daemon holds the row. */
   :: atomic { fence != 0 && (now >= valid_until || seen_holder != me) -> fence = 0; LOSE_ORDERS }
 
   /* Decides on an order. */
--- a/Models/ServerDrain.pml
+++ b/Models/ServerDrain.pml
@@ -1,16 +1,17 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * A server announces its end in its answers while its entry goes on calling it ready. Stands for
+ * A server announces in its responses that it is draining, while its entry still calls it ready. Models
  * Source/Core/Gateway/DrainState.cpp, DrainRegistry.cpp and the conditions that ServerDirectory keeps.
  *
- * A daemon that has passed such an answer on may send to the server for GRACE more ticks what no other server takes;
- * a request reaches the server within a tick. The entry may lapse and come again, as ready, at any moment. Daemons tell
- * the holder of the lease what they know, and the holder tells all; messages are lost, doubled, late and out of order,
- * and the holder changes at any moment, to a daemon that may know nothing yet.
+ * A daemon that has passed such a response on may, for GRACE more ticks, send to the server requests that no other
+ * server takes; a request reaches the server within a tick. The entry may lapse and return as ready at any moment.
+ * Daemons report the draining servers that they know to the holder of the order lease, and the holder sends updates to
+ * all daemons. Messages are lost, duplicated, delayed and reordered. The holder changes at any moment, to a daemon that
+ * may not know of the draining server yet.
  *
- * Proved: no request reaches the server later than BOUND ticks after its daemon has passed the announcement on; a
- * daemon stops telling only while the holder that it heard last knows.
+ * Verified: no request reaches the server later than BOUND ticks after its daemon has passed the announcement on; a
+ * daemon stops reporting only while the last holder that it received an update from knows that the server is draining.
  * guards: NO_END ENTRY_OVERRULES LAPSE_FORGETS CONFIRM_ANY */
 
 #define DAEMONS 2
@@ -21,20 +22,20 @@
 #define NONE 255
 
 byte now = 0;
-bool announces = false;       /* the server, in all its answers */
-byte passed_at[DAEMONS];      /* when the daemon first passed an announcement on; NONE: it has not */
-byte known_at[DAEMONS];       /* what the daemon keeps of it */
-byte sent_at[DAEMONS];        /* its request that has not arrived yet */
+bool announces = false;       /* the server, in all its responses */
+byte passed_at[DAEMONS];      /* when the daemon first passed an announcement on; NONE: not yet */
+byte known_at[DAEMONS];       /* the same time, as the daemon remembers it */
+byte sent_at[DAEMONS];        /* its request that has not arrived yet; NONE: none */
 
 byte tenure = 1;
 byte holder = 0;
-byte heard[DAEMONS];          /* the last tenure that the daemon heard of */
-byte told_in[DAEMONS];        /* the last tenure whose holder told it that the server leaves */
-bool knows[DAEMONS];          /* by an answer or by news */
-/* Messages stay in the network: that covers doubled, late and reordered ones. */
-bool report_to[TENURES + 1];  /* to the holder of a tenure: the server leaves */
-bool news_of[TENURES + 1];    /* of the holder of a tenure: the server leaves */
-bool empty_news_of[TENURES + 1];
+byte heard[DAEMONS];          /* latest tenure known to the daemon */
+byte told_in[DAEMONS];        /* latest tenure whose holder told the daemon that the server is draining */
+bool knows[DAEMONS];          /* from a response, a report or an update */
+/* Messages stay in the network, which covers duplicated, delayed and reordered ones. */
+bool report_to[TENURES + 1];  /* report to the holder of a tenure: the server is draining */
+bool news_of[TENURES + 1];    /* update of the holder of a tenure: the server is draining */
+bool empty_news_of[TENURES + 1]; /* update without the server */
 
 inline Learn(d)
 {
@@ -57,14 +58,14 @@
   byte by;
 end:
   do
-  :: atomic { /* sends */
+  :: atomic { /* sends a request */
        sent_at[d] == NONE && now < TICKS &&
 #ifndef NO_END
        (known_at[d] == NONE || now < known_at[d] + GRACE) &&
 #endif
        true -> sent_at[d] = now
      }
-  :: atomic { /* the request arrives and is answered */
+  :: atomic { /* the request arrives, and its response returns */
        sent_at[d] != NONE ->
        assert(passed_at[d] == NONE || now <= passed_at[d] + BOUND);
        sent_at[d] = NONE;
@@ -73,27 +74,27 @@
        :: else
        fi
      }
-  :: atomic { /* the entry comes again, as ready */
+  :: atomic { /* the entry is received again, as ready */
        known_at[d] != NONE ->
 #ifdef ENTRY_OVERRULES
        known_at[d] = NONE;
 #endif
        skip
      }
-  :: atomic { /* the entry lapses and comes again */
+  :: atomic { /* the entry lapses and returns */
        known_at[d] != NONE ->
 #ifdef LAPSE_FORGETS
        known_at[d] = NONE;
 #endif
        skip
      }
-  :: atomic { /* tells the holder that it heard last */
+  :: atomic { /* reports to the last holder known to it */
        knows[d] && told_in[d] < heard[d] -> report_to[heard[d]] = true
      }
-  :: atomic { /* as the holder, takes a report */
+  :: atomic { /* as the holder, receives a report */
        d == holder && report_to[tenure] && !knows[d] -> knows[d] = true; told_in[d] = tenure
      }
-  :: atomic { /* as the holder, tells all */
+  :: atomic { /* as the holder, sends an update to all */
        d == holder ->
        heard[d] = tenure;
        if
@@ -101,7 +102,7 @@
        :: else -> empty_news_of[tenure] = true
        fi
      }
-  :: atomic { /* hears news, of whichever holder */
+  :: atomic { /* receives an update with the server, of any holder */
        d != holder ->
        if
        :: news_of[1] -> by = 1
@@ -123,7 +124,7 @@
 #endif
        by = 0
      }
-  :: atomic { /* hears news without it */
+  :: atomic { /* receives an update without the server */
        d != holder ->
        if
        :: empty_news_of[1] && heard[d] < 1 -> heard[d] = 1
@@ -138,17 +139,17 @@
 {
 end:
   do
-  :: atomic { /* time goes on; what has been sent arrives within a tick */
+  :: atomic { /* time passes; what has been sent arrives within a tick */
        now < TICKS && (sent_at[0] == NONE || sent_at[0] == now) &&
        (sent_at[1] == NONE || sent_at[1] == now) -> now++
      }
   :: announces = true
-  :: atomic { /* another holder */
+  :: atomic { /* the holder changes */
        tenure < TENURES ->
        tenure++;
        holder = 1 - holder
      }
-  :: atomic { /* who stops telling can rely on the holder that it heard last */
+  :: atomic { /* if a daemon has stopped reporting to the current holder, the holder knows */
        d_step {
          assert(!(knows[0] && holder == 1 && heard[0] == tenure && told_in[0] == tenure) || knows[1]);
          assert(!(knows[1] && holder == 0 && heard[1] == tenure && told_in[1] == tenure) || knows[0])
--- a/Models/ServerLife.pml
+++ b/Models/ServerLife.pml
@@ -1,25 +1,24 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * Orders to a backend server that starts again under its id. Stands for
- * Source/Core/Orders/OrderManager.cpp.
+ * Orders to a backend server that restarts under its id. Models Source/Core/Orders/OrderManager.cpp.
  *
- * The server has two places. It carries out a load or an unload whose expected sequence is its own,
- * then counts one more. Orders may go unanswered and be carried out any time later, also in the
- * next life, which begins empty and counts from zero. The holder of the order lease plans by what
- * the last report told, and gives one order at a time.
+ * The server has two slots for models. It carries out a load or an unload only if the expected sequence
+ * is its own sequence, which it then increments. An order may stay without a result and be carried out at
+ * any later time, also by the next instance, which starts empty and with sequence zero. The holder of
+ * the order lease plans from the last report and gives one order at a time.
  *
- * Proved: no order loads beyond the server's places, and a report always brings the holder's
- * sequence back to the server's.
+ * Verified: no order loads more models than the server has slots for, and a report always resets the
+ * holder's sequence to the server's.
  * guards: NO_START NO_ROOM ONLY_THE_LIFE_BEFORE */
 
 #define PLACES 2
-#define ORDERS 7  /* that the holder gives in all */
+#define ORDERS 7  /* in total */
 #define RESTARTS 2
 #define UNDER_WAY 3
 
-byte held = 0;     /* models that the server holds; which ones does not matter */
-byte sequence = 0; /* orders that it has taken in this life */
+byte held = 0;     /* number of loaded models; which ones does not matter */
+byte sequence = 0; /* orders that the current instance has accepted */
 byte life = 0;
 
 /* Orders that the server may still carry out. */
@@ -27,13 +26,13 @@
 bool is_load[UNDER_WAY];
 byte expects[UNDER_WAY];
 
-/* What the holder believes. */
+/* State of the server as known to the holder. */
 byte known_life = 0;
 byte known_held = 0;
 byte known_sequence = 0;
-bool open = false; /* its last order is unanswered */
-/* Loads that were not answered, and of which life they were sent in. They count until they cannot
- * come any more: in the program for as long as a server is known to carry out orders late. */
+bool open = false; /* its last order has no result yet */
+/* Loads without a result, and the instance that each was sent to. They count until they can no longer
+ * arrive. The program counts them for as long as servers are known to carry out orders late. */
 bool unanswered[UNDER_WAY];
 byte sent_in[UNDER_WAY];
 
@@ -83,7 +82,7 @@
   given++
 }
 
-/* A report tells life, sequence and models as of one moment. */
+/* A report states instance, sequence and models at one moment. */
 inline Look()
 {
 #ifdef NO_START
@@ -91,7 +90,7 @@
 #endif
   if
   :: known_life != life ->
-     /* All that was believed is void, but for the loads that may still come. */
+     /* The known state is void, except for the loads that may still arrive. */
      open = false;
      known_life = life;
      known_sequence = sequence
--- a/Models/ServerLimit.pml
+++ b/Models/ServerLimit.pml
@@ -1,16 +1,16 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * A server takes RATE requests in a tick from all daemons together. Stands for
- * Source/Core/RateLimits/PermitAllocator.cpp and LocalPermits.cpp, and what Orders/PermitExchange.cpp does with them.
+ * The rate limit of a server: it takes RATE requests per tick from all daemons together. Models
+ * Source/Core/RateLimits/PermitAllocator.cpp and LocalPermits.cpp, and their use in Orders/PermitExchange.cpp.
  *
- * The holder of a lease hands out permits for single requests from a bucket; a permit is void when the tick after
- * the one in which it was asked for is over. It may be lost, or lie in a socket until its daemon runs again. The holder
- * may be cut off from all others at any moment; the next one begins when the lease and the pause are over, with an
- * empty bucket. A daemon that hears no holder may send where it is the standby that the last one named, a request in
- * each second tick. Daemons are suspended and start again at any moment.
+ * The holder of the order lease grants permits for single requests from a token bucket. A permit is void after the
+ * tick that follows the one in which it was requested. It may be lost, or wait in a socket while its daemon is
+ * suspended. The holder may be cut off from all others at any moment; the next one begins when the lease and the pause
+ * are over, with an empty bucket. A daemon without contact to a holder may send one request in every second tick if the
+ * last holder named it as the standby. Daemons are suspended and restart at any moment.
  *
- * Proved: in no window of WINDOW ticks does the server get more than one and a half times what it
+ * Verified: in no window of WINDOW ticks does the server receive more than one and a half times what its limit
  * allows.
  * guards: NO_END EACH_ITS_OWN FULL_BUCKET */
 
@@ -19,24 +19,24 @@
 #define WINDOW 4
 #ifdef NO_END
 #define TICKS 8
-#define PERMITS 4   /* of one daemon at once */
+#define PERMITS 4   /* that one daemon may have at once */
 #else
 #define TICKS 6
 #define PERMITS 2
 #endif
-#define LEASE 3     /* ticks from a holder's loss until the next one hands out */
+#define LEASE 3     /* ticks from the loss of a holder until the next one grants permits */
 
 #define ALLOWED (RATE * WINDOW + RATE * WINDOW / 2)
 
 byte now = 0;
-byte sent[WINDOW];            /* in each tick of the window */
+byte sent[WINDOW];            /* requests in each tick of the window */
 byte next_holder_in = 0;
 byte bucket = 0;
-byte standby = 0;             /* named by the last holder that was heard */
+byte standby = 0;             /* named by the last reachable holder */
 bool suspended[DAEMONS];
-byte permits[DAEMONS];        /* in its socket or in its hands */
-byte asked_in[DAEMONS];       /* tick of the ask that they answer */
-bool unheard = false;         /* no holder speaks */
+byte permits[DAEMONS];        /* received, or waiting in its socket */
+byte asked_in[DAEMONS];       /* tick in which they were requested */
+bool unheard = false;         /* no holder is reachable */
 byte sent_alone[DAEMONS];     /* as a standby, in this tick or the one before */
 byte losses = 0;
 
@@ -50,7 +50,7 @@
 {
 end:
   do
-  :: atomic { /* asks, and gets a permit, or its answer is lost */
+  :: atomic { /* requests a permit; the response arrives or is lost */
        next_holder_in == 0 && bucket > 0 && !suspended[d] && permits[d] < PERMITS &&
 #ifdef NO_END
        true ->
@@ -63,7 +63,7 @@
        :: skip
        fi
      }
-  :: atomic { /* uses it */
+  :: atomic { /* uses a permit */
        !suspended[d] && permits[d] > 0 ->
        permits[d]--;
        if
@@ -79,7 +79,7 @@
        :: else
        fi
      }
-  :: atomic { /* hears no holder */
+  :: atomic { /* sends without a holder */
 #ifdef EACH_ITS_OWN
        !suspended[d] && unheard && sent_alone[d] < RATE ->
 #else
@@ -88,11 +88,11 @@
        sent_alone[d]++;
        Count()
      }
-  :: atomic { /* stands still, and runs again */
+  :: atomic { /* is suspended, and resumes below */
        losses < 2 -> losses++; suspended[d] = true
      }
   :: suspended[d] -> suspended[d] = false
-  :: atomic { /* starts again: what it had is gone */
+  :: atomic { /* restarts and loses its permits */
        losses < 2 -> losses++;
        permits[d] = 0;
        asked_in[d] = 0;
@@ -148,7 +148,7 @@
        losses < 2 && next_holder_in == 0 -> losses++;
        next_holder_in = LEASE
      }
-  :: atomic { /* another daemon is the standby; the one before may not have been told */
+  :: atomic { /* another daemon becomes the standby; the previous one may not have been informed */
        next_holder_in == 0 -> standby = (standby + 1) % DAEMONS
      }
   od
--- a/Models/Table.pml
+++ b/Models/Table.pml
@@ -1,20 +1,20 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * The table's revisions over races, restarts and outages. Stands for
+ * Revisions of the table across concurrent edits, restarts and outages. Models
  * Source/Core/Serving/TableFollower.cpp.
  *
- * Two operators edit against the revision they saw. Two daemons follow: from the platform while it
- * answers, and from each other. A daemon may restart at any time and then knows nothing.
+ * Two operators edit on the basis of the revision that they read. Two daemons follow the table: from the
+ * platform while it is available, and from each other. A daemon may restart at any time and then has no table.
  *
- * Proved: no accepted edit is lost to another, and no daemon goes back to a lower revision.
+ * Verified: no accepted edit overwrites another, and no daemon returns to a lower revision.
  * guards: NO_COMPARE ADOPT_ANY */
 
 byte head = 0;          /* the platform's revision */
-byte author[6];         /* whose edit made the revision; 0: none yet */
+byte author[6];         /* operator whose edit created the revision; 0: none yet */
 byte accepted = 0;
 bool outage = false;
-byte revision[2];       /* in force at each daemon */
+byte revision[2];       /* in force on each daemon */
 bool ready[2];          /* a daemon without a table serves nothing */
 
 proctype Operator(byte me)
@@ -34,7 +34,7 @@
 #endif
           assert(author[seen + 1] == 0);
           author[seen + 1] = me; head = seen + 1; accepted++
-       :: else -> skip  /* a typed conflict */
+       :: else -> skip  /* rejected with a typed conflict */
        fi
      }
   :: else -> break
