--- a/CMake/CompilerSettings.cmake
+++ b/CMake/CompilerSettings.cmake
@@ -10,8 +10,8 @@
 if(NOT CMAKE_BUILD_TYPE)
   set(CMAKE_BUILD_TYPE RelWithDebInfo)
 endif()
-# Coroutines resume each other by tail calls, which GCC makes from -O2 on: without them a long
-# stream grows the stack.
+# Coroutines resume each other through tail calls, which GCC emits from -O2 on. Without them, the stack grows with the
+# length of a stream; debug builds therefore request them explicitly.
 set(CMAKE_CXX_FLAGS_RELWITHDEBINFO "-O2 -g1")
 set(CMAKE_CXX_FLAGS_DEBUG "-Og -g -foptimize-sibling-calls")
 
--- a/CMake/Dependencies.cmake
+++ b/CMake/Dependencies.cmake
@@ -1,7 +1,7 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Every library comes from Debian's packages; Tools/setup.sh installs them.
+# All libraries come from Debian packages, which Tools/setup.sh installs.
 
 find_package(PkgConfig REQUIRED)
 pkg_check_modules(SOUP REQUIRED IMPORTED_TARGET libsoup-3.0)
@@ -13,12 +13,12 @@
 find_package(nlohmann_json REQUIRED)
 find_package(prometheus-cpp CONFIG REQUIRED COMPONENTS core)
 find_package(cxxopts REQUIRED)
-# Only the benchmarks need it: where it is missing, the rest is built.
+# Needed by the benchmarks only, which are skipped if it is missing.
 find_package(benchmark CONFIG QUIET)
 find_library(CSV_LIBRARY csv REQUIRED)
 find_library(HTTP_PARSER_LIBRARY http_parser REQUIRED)
 
-# One static library for each package below Source/Core.
+# Adds the static library of one package of Source/Core.
 function(drumpond_package name)
   cmake_parse_arguments(PACKAGE "" "" "SOURCES;LINKS" ${ARGN})
   add_library(${name} STATIC ${PACKAGE_SOURCES})
@@ -26,7 +26,7 @@
   target_link_libraries(${name} PUBLIC ${PACKAGE_LINKS})
 endfunction()
 
-# A program that stands beside Source/Core.
+# Adds a program outside Source/Core.
 function(drumpond_program name)
   cmake_parse_arguments(PROGRAM "" "" "SOURCES;LINKS" ${ARGN})
   add_executable(${name} ${PROGRAM_SOURCES})
--- a/Tools/check-docs.sh
+++ b/Tools/check-docs.sh
@@ -2,8 +2,9 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Runs each command that a code block of the docs shows for `drumpond` or `drumpondd`, against a
-# daemon of its own, checks that each tool that the docs name is there, and that the docs name each event of the log. Ends in "N passed, N failed".
+# Runs each `drumpond` and `drumpondd` command in the code blocks of the docs against a daemon that it starts. Checks
+# that each tool named in the docs exists and is executable, and that docs/OPERATIONS.md lists each log event.
+# The last line is "N passed, N failed".
 set -uo pipefail
 cd "$(dirname "$0")/.."
 source Tools/stack.sh
@@ -34,7 +35,7 @@
   judge $? "$tool"
 done < <(grep -ohE 'Tools/[a-z-]+\.sh' "$OLDPWD"/docs/*.md "$OLDPWD"/*.md | sort -u)
 cd "$OLDPWD"
-# Every event that the code logs stands in the operators' page.
+# Every event that the code logs is listed in the page for operators.
 while read -r event; do
   grep -q "\`$event\`" docs/OPERATIONS.md
   judge $? "event $event is not in docs/OPERATIONS.md"
--- a/Tools/check-format.sh
+++ b/Tools/check-format.sh
@@ -2,7 +2,7 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Fails where a source file is not formatted; with --fix formats it.
+# Fails if a source file is not formatted. With --fix, formats the files instead.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [ "${1:-}" = --fix ]; then
--- a/Tools/check-models.sh
+++ b/Tools/check-models.sh
@@ -2,8 +2,8 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Checks Models/*.pml with Spin: each must hold, and with each guard that its head names taken out
-# Spin must find a counterexample. Ends in "N passed, N failed".
+# Checks Models/*.pml with Spin. Each model must hold. For each guard in the "guards:" line of its head, Spin must find
+# a counterexample once the guard is removed. The last line is "N passed, N failed".
 set -uo pipefail
 cd "$(dirname "$0")/.."
 MODELS=$PWD/Models
@@ -13,13 +13,13 @@
 passed=0
 failed=0
 
-# verify MODEL SWITCHES: prints "ERRORS STATES" of an exhaustive search.
+# verify MODEL SWITCHES: runs an exhaustive search and prints "ERRORS STATES". Fails if the search is incomplete.
 verify() {
   local model=$1 switches=$2
   spin $switches -a "$MODELS/$model.pml" >spin.log 2>&1 && gcc -O2 -DSAFETY -DVECTORSZ=2048 -o pan pan.c 2>gcc.log || return 1
   timeout 180 ./pan -m200000 -w22 >pan.log 2>&1 || return 1
   grep -q 'max search depth too small' pan.log && return 1
-  # A search that ends for another reason than a failed assertion proves nothing.
+  # With a guard removed, only a failed assertion is a counterexample; a search may stop for other reasons.
   [ -z "$switches" ] || grep -q 'assertion violated' pan.log || return 1
   awk '/errors:/ {e=$NF} /states, stored/ {s=$1} END {print e, s}' pan.log
 }
--- a/Tools/demo.sh
+++ b/Tools/demo.sh
@@ -2,8 +2,9 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Installs, builds, starts stand-ins and six daemons for three data centres, applies the Qasba
-# table, and sends a chat to an idle model, a weekly plan and a label.
+# Installs the dependencies, builds, starts the stand-ins and six daemons in three data centres, applies the Qasba
+# table, and sends three requests: a chat to a model that is not loaded, a weekly plan as a bulk job, and a label as a
+# call that is not repeatable.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 Tools/setup.sh
@@ -25,13 +26,13 @@
 tool table apply examples/qasba.csv --who demo
 tool table status
 
-echo "== a chat to an idle model, streamed through entry-1"
+echo "== a chat to a model that is not loaded, streamed through entry-1"
 curl -fsSN -D "$STACK_LOGS/head" "$ENTRY/v1/chat/completions" \
   -d '{"model":"recipe-17","stream":true,"messages":[{"role":"user","content":"what can I cook with dates?"}]}' \
   | sed -n 's/^data: //p' | tail -n 3
 grep -i '^x-drumpond-server' "$STACK_LOGS/head"
 
-echo "== a weekly plan as a bulk job, submitted to entry-2 and looked up at entry-3"
+echo "== a weekly plan as a bulk job, submitted to entry-2 and polled at entry-3"
 JOB=$(curl -fsS http://127.0.0.1:7502/v1/jobs -H 'Idempotency-Key: plan-family-12-week-49' \
   -d '{"model":"recipe-style-07","messages":[{"role":"user","content":"plan our week"}]}' | jq -r .id)
 for _ in $(seq 100); do
@@ -41,15 +42,15 @@
 curl -fsS "http://127.0.0.1:7503/v1/jobs/$JOB"
 curl -fsS "http://127.0.0.1:7503/v1/jobs/$JOB/result" | answer_of
 
-echo "== a label that may not be repeated, sent twice: through entry-4, then through entry-5"
+echo "== a label, which is not repeatable, requested twice with the same key: through entry-4, then through entry-5"
 for port in 7504 7505; do
   curl -fsS "http://127.0.0.1:$port/services/labels/create" -H 'Idempotency-Key: parcel-81' \
     -d '{"parcel":81}'
 done
 
-echo "== where things are"
+echo "== loaded models by server"
 tool runners
-echo "== why"
+echo "== decisions on recipe-17"
 tool explain recipe-17
 stop_stack
 echo "demo: done"
--- a/Tools/make-days.py
+++ b/Tools/make-days.py
@@ -1,9 +1,10 @@
 #!/usr/bin/env python3
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
-"""Writes days for the users' bench. deploy/days: few, which every hunt varies on every site. Scenarios/Days: one
-for each kind of trouble, alone, and one together with trouble at the platform's store, to be run by hand. Each file is
-named after what it strikes."""
+"""Generates the days (fault schedules) for the bench of the users. deploy/days: a few days, which every hunt (a
+randomized search for failures) varies for every site. Scenarios/Days: two days for each kind of fault or planned
+operation, one with it alone and one with faults of the platform's store in addition, to be run by hand. Each file is
+named after what it exercises."""
 import pathlib
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
@@ -90,15 +91,16 @@
                               'kind = "clock_step", x = 5000, share = 0.6, for_s = 6.0, how = "back"']),
     "hup": ("plan", ['kind = "hup", share = 1.0, gap_s = 2.0']),
     "reset-conns": ("faults", ['kind = "reset_conns", share = 0.8, x = 0.8']),
-    # Only the grown sites know these.
+    # Only the grown sites of the bench support these.
     "srv-flap": ("faults", ['kind = "srv_flap", share = 0.3, gap_s = 1.5, for_s = 8.0']),
     "srv-lying-errors": ("faults", ['kind = "srv_lying_health", share = 0.3, for_s = 8.0, how = "errors"']),
     "srv-lying-hang": ("faults", ['kind = "srv_lying_health", share = 0.3, for_s = 8.0, how = "hang"']),
     "srv-lying-bad": ("faults", ['kind = "srv_lying_health", share = 0.5, for_s = 8.0, how = "bad"']),
-    # The configuration outgrows what a link of 10 Mbit/s carries in a second.
+    # The configuration becomes larger than a link of 10 Mbit/s transfers in a second.
     "big-configs": ("plan", ['kind = "big_config", count = 1400'] * 2),
 }
-# name: (what it is for, plan, faults); @s0 and @c0 stand for a site's first service and kind of request.
+# name: (purpose, plan, faults); @s0 and @c0 are placeholders for the first service and the first request class of a
+# site.
 VARIED = {
     "servers-start-again": (
         "Servers start again under their id, behind cuts and by crashes, while demand moves.",
--- a/Tools/measure.sh
+++ b/Tools/measure.sh
@@ -2,28 +2,28 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Measures with real daemons and stand-ins on this machine. Each line of output is JSON.
-#   Tools/measure.sh cold-start [SEEDS...]  policies against their baselines, both houses' weights
-#   Tools/measure.sh overload               twice the load that the runners serve
-#   Tools/measure.sh relay                  added latency and tokens a second on one daemon
-#   Tools/measure.sh cold-path              platform round trips before a load order
-#   Tools/measure.sh control                bytes, messages, CPU and memory for control
+# Measures real daemons with stand-ins on this machine. Each line of output is a JSON object.
+#   Tools/measure.sh cold-start [SEEDS...]  the policies and their baselines, with both example tables
+#   Tools/measure.sh overload               twice the load that the runners can serve
+#   Tools/measure.sh relay                  added latency and tokens per second of one daemon
+#   Tools/measure.sh cold-path              round trips to the platform before a load order
+#   Tools/measure.sh control                bytes, messages, CPU and memory of the control plane
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source Tools/stack.sh
 trap stop_stack EXIT
 
-# Loads are shortened by 100: a load of 60 s takes 0.6 s, and the weight store starts 300 a second.
+# Loads are shortened by a factor of 100: one of 60 s takes 0.6 s, and the weight store starts 300 per second.
 export LOAD_MS=600 STARTS_PER_SECOND=300
 CENTRES=(a b c)
 ENTRIES=http://127.0.0.1:7501,http://127.0.0.1:7502,http://127.0.0.1:7503,http://127.0.0.1:7504,http://127.0.0.1:7505,http://127.0.0.1:7506
 OURS=()
 BASELINE=(--placement first-fit --retention keep-alive --routing round-robin --queue fifo --load-order fifo)
 
-# centres_of TABLE: its three data centres.
+# centres_of TABLE: prints its three data centres.
 centres_of() { sed -n 's/^data_centre,\([^,]*\),.*/\1/p' "$1"; }
 
-# engine_totals: loaded and busy milliseconds, loads and runs over all engines.
+# engine_totals: prints loaded and busy milliseconds, loads and runs, summed over all engines.
 engine_totals() {
   local index
   for index in 1 2 3 4 5 6 7 8 9; do curl -fs -XPOST "http://127.0.0.1:$((7300 + index))/control" -d '{}'; done |
@@ -31,7 +31,7 @@
       overcommitted: (map(.overcommitted)|any), runs: (map(.runs|add // 0)|add)}'
 }
 
-# run_house TABLE MODELS LABEL SEED FLAGS...: one run of the trace in a fresh stack.
+# run_house TABLE MODELS LABEL SEED FLAGS...: runs the generated load once against a new stack; FLAGS go to the daemons.
 run_house() {
   local table=$1 models=$2 label=$3 seed=$4
   shift 4
@@ -67,7 +67,7 @@
   curl -fs "http://127.0.0.1:7601/metrics" 2>/dev/null || true
 }
 
-# One daemon before one engine; the same streams straight to the engine first.
+# Streams through one daemon, compared with the same streams sent directly to the engine.
 measure_relay() {
   start platform "$BIN/standin-platform" --port "$PLATFORM_PORT"
   wait_for "http://127.0.0.1:$PLATFORM_PORT/control"
@@ -96,7 +96,7 @@
     curl -fs -o /dev/null http://127.0.0.1:7501/v1/chat/completions -d "{\"model\":\"m-0$index\",\"messages\":[]}"
   done
   local model target streams daemon_pid=${STACK_PIDS[5]}
-  # Each engine serves one model; find which.
+  # Each engine serves one model; only that of the first is needed.
   for index in 1 2 3 4; do
     model=$(curl -fs -XPOST "http://127.0.0.1:$((7300 + index))/control" -d '{}' | jq -r '.artifacts | keys[0]')
     [ "$index" = 1 ] && { target=http://127.0.0.1:7301; direct_model=$model; }
@@ -107,7 +107,7 @@
     local before after memory_before memory_after
     memory_before=$(awk '/VmRSS/ {print $2}' "/proc/$daemon_pid/status")
     before=$(cut -d' ' -f14,15 "/proc/$daemon_pid/stat" | tr ' ' +)
-    # Four loaders, so that the loader is not what is measured.
+    # Four load generators, so that a generator is not the bottleneck.
     local loaders=() output=()
     for index in 1 2 3 4; do
       "$BIN/drumpond-load" --targets http://127.0.0.1:7501 --models "m-0$index" --streams $((streams / 4)) --seconds 8 \
@@ -126,8 +126,8 @@
   stop_stack
 }
 
-# From a cold request's arrival to its load order at the engine, with the platform slowed down: the
-# slope is the number of the platform's round trips on that path.
+# Time from the arrival of a request for a model that is not loaded to the load order at the engine, for several delays
+# of the platform. The slope is the number of round trips to the platform on that path.
 measure_cold_path() {
   local slow model began ordered number=10
   for slow in 0 100 200; do
@@ -149,7 +149,7 @@
   done
 }
 
-# control_point DAEMONS RUNNERS MODELS: a quiet stack of that size; per daemon and second.
+# control_point DAEMONS RUNNERS MODELS: cost of control per daemon and second in a stack of that size without requests.
 control_point() {
   local daemons=$1 runners=$2 models=$3 index vms="" first
   start platform "$BIN/standin-platform" --port "$PLATFORM_PORT"
--- a/Tools/prove.sh
+++ b/Tools/prove.sh
@@ -2,8 +2,9 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Runs the proofs: Tools/prove.sh [scenarios|models|fuzz|fast|NAME]; without an argument all of
-# them. NAME runs the scenarios whose name contains it. Ends in "N passed, N failed".
+# Runs models, fuzz tests and scenarios: Tools/prove.sh [scenarios|models|fuzz|fast|NAME]; without an argument all of
+# them. "fast" runs the models and the quick scenario files; NAME runs the scenarios whose name contains it. The last
+# line is "N passed, N failed".
 set -uo pipefail
 cd "$(dirname "$0")/.."
 WHAT="${1:-all}"
@@ -11,7 +12,7 @@
 mkdir -p "$OUT"
 rm -f "$OUT"/*.txt
 
-# run_scenarios FILES...: each file beside the others, on addresses of its own.
+# run_scenarios FILES...: runs the files in parallel, each on its own loopback addresses.
 run_scenarios() {
   local file name net=40 pids=()
   for file in "$@"; do
--- a/Tools/setup.sh
+++ b/Tools/setup.sh
@@ -2,7 +2,7 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Installs everything that the build and the tests need, from Debian's packages alone.
+# Installs all dependencies of the build and the tests, from Debian packages only.
 set -euo pipefail
 
 PACKAGES=(
--- a/Tools/soak.sh
+++ b/Tools/soak.sh
@@ -2,9 +2,9 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Soaks the real daemons: Tools/soak.sh kept plays the seeds of Scenarios/soak-seeds.txt for some seconds each,
-# Tools/soak.sh FIRST COUNT [SECONDS [AT_ONCE]] a range of seeds. Logs of the daemons lie under build/soak/SEED.
-# Ends in "N passed, N failed".
+# Soak test of real daemons under random load and faults. Tools/soak.sh kept runs the seeds of Scenarios/soak-seeds.txt
+# for a few seconds each, Tools/soak.sh FIRST COUNT [SECONDS [AT_ONCE]] a range of seeds. The logs of the daemons are in
+# build/soak/SEED. The last line is "N passed, N failed".
 set -uo pipefail
 cd "$(dirname "$0")/.."
 if [ "${1:-kept}" = kept ]; then
@@ -17,19 +17,19 @@
   AT_ONCE=${4:-4}
 fi
 mkdir -p build/soak
-# A copy, so that a build meanwhile does not change the program of a restarted daemon.
+# A copy, so that a concurrent build does not replace the program of a daemon that is restarted.
 cp build/bin/drumpondd build/soak/drumpondd
-# Seeds from here on have servers that start again under their id; the others stay as they were.
+# From this seed on, servers restart under their id. Lower seeds keep their earlier behaviour, here and below.
 UNDER_ID_FROM=600
-# Seeds from here on have requests that end the servers that run them.
+# From this seed on, some requests crash the servers that run them.
 CRASHERS_FROM=700
-# Seeds from here on have servers that name how many requests a second they take.
+# From this seed on, servers announce a rate limit: how many requests per second they take.
 LIMITS_FROM=800
-# Seeds from here on have servers that say that they leave, or want no requests for a while.
+# From this seed on, servers announce that they are draining, or ask for backoff.
 LEAVING_FROM=900
-# Seeds from here on have crashing requests only when others have run to a good end (see KNOWN-RED.txt).
+# From this seed on, crashing requests come only after others have completed successfully (see KNOWN-RED.txt).
 LATE_CRASHERS_FROM=950
-# one SEED: plays it on loopback addresses of its own.
+# one SEED: runs it on its own loopback addresses.
 one() {
   local seed=$1
   local more=()
--- a/Tools/stack.sh
+++ b/Tools/stack.sh
@@ -1,7 +1,7 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Starts and stops the stand-ins and six daemons on loopback addresses; sourced by the other tools.
+# Functions that start and stop the stand-ins and six daemons on loopback addresses. Sourced by the other tools.
 
 BIN="${BIN:-build/bin}"
 STACK_LOGS="${STACK_LOGS:-$(mktemp -d)}"
@@ -10,7 +10,7 @@
 WEIGHT_STORE_PORT="${WEIGHT_STORE_PORT:-7210}"
 export DRUMPOND_PEER_KEY="${DRUMPOND_PEER_KEY:-a-key-for-the-demo-only}"
 
-# start NAME COMMAND...: runs a program in the background and remembers it.
+# start NAME COMMAND...: runs a program in the background, to be ended by stop_stack.
 start() {
   local name=$1
   shift
@@ -18,13 +18,13 @@
   STACK_PIDS+=($!)
 }
 
-# wait_for URL: until it answers with success, at most 10 s.
+# wait_for URL: waits until it responds with success, about 10 s at most.
 wait_for() {
   for _ in $(seq 100); do
     curl -fs -o /dev/null "$1" && return 0
     sleep 0.1
   done
-  echo "no answer from $1" >&2
+  echo "no successful response from $1" >&2
   return 1
 }
 
@@ -35,7 +35,8 @@
   STACK_PIDS=()
 }
 
-# start_backends ENGINE_FLAGS...: platform, weight store, nine engines, three plain services.
+# start_backends ENGINE_FLAGS...: starts the platform, the weight store, nine engines and three plain services. Every
+# third engine ignores fencing.
 start_backends() {
   start platform "$BIN/standin-platform" --port "$PLATFORM_PORT"
   start weight-store "$BIN/standin-weight-store" --port "$WEIGHT_STORE_PORT" --load-ms "${LOAD_MS:-600}" \
@@ -54,7 +55,7 @@
   done
 }
 
-# list_vms DATA_CENTRES...: fills the platform's list with six entry VMs and the runners.
+# list_vms DATA_CENTRES...: sets the platform's list of VMs to six entry VMs and the runners.
 list_vms() {
   local centres=("$@") vms="" index
   for index in 1 2 3 4 5 6; do
@@ -68,7 +69,7 @@
   curl -fs -o /dev/null -XPOST "http://127.0.0.1:$PLATFORM_PORT/control" -d "{\"vms\":[${vms%,}]}"
 }
 
-# start_daemons DATA_CENTRES... [-- FLAGS...]: six daemons, two in each data centre.
+# start_daemons DATA_CENTRES FLAGS...: starts six daemons, two in each of three data centres.
 start_daemons() {
   local centres=("${@:1:3}") index
   shift 3
@@ -83,12 +84,12 @@
   done
 }
 
-# wait_for_peers PORT: until the daemon there hears all six, at most 10 s.
+# wait_for_peers PORT: waits until the daemon there sees all six daemons as alive, about 10 s at most.
 wait_for_peers() {
   for _ in $(seq 100); do
     [ "$(curl -fs "http://127.0.0.1:$1/dump" | jq '[.daemons[] | select(.alive)] | length')" = 6 ] && return 0
     sleep 0.1
   done
-  echo "the daemon at port $1 does not hear all others" >&2
+  echo "the daemon at port $1 does not see all six daemons as alive" >&2
   return 1
 }
--- a/Tools/test.sh
+++ b/Tools/test.sh
@@ -2,10 +2,9 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Builds and runs the tests: unit tests, models, fast scenarios, the commands of the docs, the
-# build of deploy/system.toml, a short soak, the demo. Tools/prove.sh
-# runs all proofs. Ends in "N passed, N failed"; failures that KNOWN-RED.txt lists are printed and
-# passed over.
+# Builds and runs the tests: unit tests, models, fast scenarios, the commands of the docs, the build of
+# deploy/system.toml, a short soak and the demo. Tools/prove.sh runs all scenarios, models and fuzz tests. The last line
+# is "N passed, N failed". Failures listed in KNOWN-RED.txt are printed and not counted.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 Tools/build.sh || exit 1
@@ -33,7 +32,7 @@
   failed=$((failed + $(echo "$verdict" | cut -d' ' -f3)))
 done
 if [ -f KNOWN-RED.txt ]; then
-  # A line is "NAME: ...", where NAME may hold colons itself.
+  # A line is "NAME: ...", where NAME may contain colons.
   while read -r line; do
     if grep -q "^FAIL ${line%%: *} " build/test/*.txt; then
       echo "known red: $line"
--- a/deploy/check.sh
+++ b/deploy/check.sh
@@ -2,8 +2,8 @@
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
 #
-# Builds as deploy/system.toml says, from the files that git tracks alone, starts the program with settings of its
-# own and asks its addresses. Ends in "N passed, N failed".
+# Builds with the command of deploy/system.toml from the files tracked by git only, starts the program with its own
+# settings and sends requests to its addresses. The last line is "N passed, N failed".
 set -uo pipefail
 cd "$(dirname "$0")/.."
 passed=0
@@ -14,17 +14,17 @@
 WORK=$(mktemp -d)
 trap 'kill "${DAEMON:-}" 2>/dev/null; rm -rf "$WORK"' EXIT
 
-# Every package that the build lists is one that the setup installs too.
+# Tools/setup.sh must install every package that deploy/system.toml lists.
 missing=0
 for package in $(sed -n '/^packages = \[/,/^\]/p' deploy/system.toml | grep -o '"[^"]*"' | tr -d '"'); do
   grep -qE "(^| )$package( |$)" Tools/setup.sh || { echo "not in Tools/setup.sh: $package"; missing=1; }
 done
-judge $missing "packages are those of the setup"
+judge $missing "packages are installed by Tools/setup.sh"
 
 git ls-files -z | xargs -0 cp --parents -t "$WORK" 2>/dev/null
 BUILD=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/system.toml)
 (cd "$WORK" && bash -c "$BUILD") >build/test/deploy-build.log 2>&1
-judge $? "builds in a clean folder"
+judge $? "builds in a clean directory"
 
 RUN=$(sed -n 's/^run = "\(.*\)"$/\1/p' deploy/system.toml)
 cat >"$WORK/node.json" <<JSON
@@ -45,14 +45,14 @@
 [ "$(curl -s http://127.0.0.1:7875/dump | jq -r .ready)" = false ]
 judge $? "serves a dump"
 [ "$(curl -s -o /dev/null -w '%{http_code}' http://127.0.0.1:7872/x)" = 503 ]
-judge $? "refuses what it cannot route yet"
+judge $? "refuses requests before it has routes"
 kill -TERM "$DAEMON"
 wait "$DAEMON"
-judge $? "stops in order"
+judge $? "exits with status 0 on SIGTERM"
 grep -q 'event=stopped' "$WORK/log"
-judge $? "says that it stopped"
+judge $? "logs that it stopped"
 (cd "$WORK" && echo '{}' >bad.json && DRUMPOND_BOOT="$WORK/bad.json" $RUN) >"$WORK/bad.log" 2>&1
 [ $? -eq 2 ] && grep -q 'event=settings-invalid' "$WORK/bad.log"
-judge $? "names what is wrong with its settings"
+judge $? "exits with status 2 and logs invalid settings"
 echo "$passed passed, $failed failed"
 [ "$failed" -eq 0 ]
