--- a/Scenarios/10-serving.lua
+++ b/Scenarios/10-serving.lua
@@ -1,7 +1,7 @@
 -- SPDX-FileCopyrightText: 2026 The drumpond developers
 -- SPDX-License-Identifier: Apache-2.0
 --
--- Serving without failures, and bad input.
+-- Serving without faults, and invalid input.
 
 local World = require("world")
 
@@ -26,7 +26,7 @@
     m2 = {memory_mb = 50000, replicas = 1}}}
   w:ok(w:chat(1, "m1"))
   w:ok(w:chat(2, "m2"))
-  check(#w:holders("m1") == 0, "m1 made room")
+  check(#w:holders("m1") == 0, "m1 was evicted")
   w:ok(w:chat(3, "m1"))
   w:check_promises()
 end)
@@ -49,17 +49,17 @@
   w:await(second)
   local again = w:label(3, "parcel-1")
   w:ok(again)
-  check(decode(again.answer.body).number, "the kept answer is given again")
+  check(decode(again.answer.body).number, "the stored response is returned again")
   w:check_promises()
 end)
 
 scenario("bulk-job-is-run-and-kept", function()
   local w = World.new{}
   local id = w:submit(1, "m2", "plan-1")
-  check(w:submit(2, "m2", "plan-1") == id, "the same key is the same job")
+  check(w:submit(2, "m2", "plan-1") == id, "the same key gives the same job")
   w:await_job(3, id)
   local result = call{url = w.daemons[2].url .. "/v1/jobs/" .. id .. "/result"}
-  check(result.status == 200 and #decode(result.body).choices == 1, "the result is kept")
+  check(result.status == 200 and #decode(result.body).choices == 1, "the result is stored")
   w:check_promises()
 end)
 
@@ -71,7 +71,7 @@
     local got = call(options)
     check(got.status == status, options.url .. " gives " .. status .. ": " .. got.status .. " " .. got.body)
     check(decode(got.body).error.type == type_name, "the type is " .. type_name .. ": " .. got.body)
-    check(not decode(got.body).error.ran or decode(got.body).error.ran == "not_run", "it says not_run")
+    check(not decode(got.body).error.ran or decode(got.body).error.ran == "not_run", "it states not_run")
   end
   local chat = url .. "/v1/chat/completions"
   refusal({url = chat, body = "{"}, 400, "invalid_input")
@@ -92,7 +92,7 @@
   check(w:control(w.services[1], {}).calls == 0, "nothing was run")
 end)
 
--- All bases are loaded, each on one server; every adapter must go beside its own, at once.
+-- All base models are loaded, each on one server. Each adapter must be loaded on the server of its base, without delay.
 scenario("adapters-go-where-their-base-is", function()
   local adapters, models = {}, {}
   for number = 1, 6 do
@@ -104,7 +104,7 @@
   for number = 1, 6 do
     local sent = w:chat(number % 3 + 1, "style" .. number)
     w:ok(sent)
-    check(sent.answer.took_ms < 2000, "the adapter is not kept waiting: " .. sent.answer.took_ms)
+    check(sent.answer.took_ms < 2000, "the adapter is loaded without delay: " .. sent.answer.took_ms)
   end
   w:check_promises()
 end)
--- a/Scenarios/20-failures.lua
+++ b/Scenarios/20-failures.lua
@@ -1,7 +1,8 @@
 -- SPDX-FileCopyrightText: 2026 The drumpond developers
 -- SPDX-License-Identifier: Apache-2.0
 --
--- One failure at a time: processes that die or freeze, a store that fails, answers that go wrong.
+-- Single faults: processes that are killed or suspended, a platform or weight store that fails or is
+-- slow, and wrong responses.
 
 local World = require("world")
 
@@ -10,7 +11,7 @@
   w:control(w.engines[1], {die_in_load = true})
   w:control(w.engines[2], {die_in_load = true})
   w:storm(12)
-  wait_until(8000, "an engine has died", function()
+  wait_until(8000, "an engine has crashed", function()
     return ended(w.engines[1].pid) or ended(w.engines[2].pid)
   end)
   sleep(200)
@@ -25,7 +26,7 @@
 scenario("daemon-dies-in-the-middle-of-a-load", function()
   local w = World.new{engines = 2, store_flags = {"--load-ms", "600"}}
   w:storm(6)
-  wait_until(5000, "a load is under way", function() return w:ledger().fetches > 0 end)
+  wait_until(5000, "a load is in progress", function() return w:ledger().fetches > 0 end)
   local keeper = w:keeper_of(w:claims()[1].server)
   w:kill(keeper)
   for index, daemon in ipairs(w.daemons) do
@@ -39,7 +40,7 @@
   local keeper = w:keeper_of("runner-1")
   w:control(w.engines[1], {order_delay_ms = 700})
   local doomed = w:chat(keeper.index, "m1", {deadline_ms = 3000})
-  wait_until(5000, "the claim stands", function() return #w:claims() > 0 end)
+  wait_until(5000, "a claim is written", function() return #w:claims() > 0 end)
   signal(keeper.pid, "STOP")
   w:control(w.engines[1], {order_delay_ms = 0})
   local other = w.daemons[keeper.index % 3 + 1]
@@ -51,7 +52,7 @@
   w:check_promises()
 end)
 
--- The order of a frozen daemon is on its way for 3 s, to an engine that would carry it out.
+-- The order of a suspended daemon is in transit for 3 s, to an engine that ignores fencing and would carry it out.
 scenario("frozen-daemon-acts-late-on-an-engine-that-ignores", function()
   local w = World.new{engines = 1, ignore_fencing = true, models = {m1 = {memory_mb = 50000, replicas = 1},
     m2 = {memory_mb = 50000, replicas = 1}}}
@@ -70,12 +71,12 @@
   w:check_promises()
 end)
 
--- The daemon freezes while it waits for the answer to its claim; another takes over; it wakes up.
+-- A daemon is suspended while it waits for the response to its claim. Another takes over, and the first one resumes.
 scenario("daemon-freezes-between-claim-and-order", function()
   local w = World.new{engines = 1, models = {m1 = {memory_mb = 50000, replicas = 1}, m2 = {memory_mb = 50000, replicas = 1}}}
   w:platform_control{answer_delay_ms = 400}
   local doomed = w:chat(1, "m1", {deadline_ms = 6000})
-  wait_until(5000, "the claim stands", function() return #w:claims() > 0 end)
+  wait_until(5000, "a claim is written", function() return #w:claims() > 0 end)
   local keeper = w:daemon_of(w:claims()[1].claim.holder)
   signal(keeper.pid, "STOP")
   w:platform_control{answer_delay_ms = 0}
@@ -88,7 +89,7 @@
   w:check_promises()
 end)
 
--- The order waits on its way; its sender dies; the model must not count as gone meanwhile.
+-- An order is in transit when its sender is killed. Meanwhile its model must still count as possibly loaded.
 scenario("order-of-unknown-outcome-stays-counted-in-quarantine", function()
   local w = World.new{engines = 1, ignore_fencing = true, models = {m1 = {memory_mb = 50000, replicas = 1},
     m2 = {memory_mb = 50000, replicas = 1}}}
@@ -104,7 +105,7 @@
   w:check_promises()
 end)
 
--- The sender died and runs again: its order may still be on its way for the settling time.
+-- The sender of an order is killed and restarted. During the settling time its order may still be in transit.
 scenario("order-of-a-restarted-daemon-settles-late", function()
   local w = World.new{engines = 1, ignore_fencing = true, daemon_flags = {"--order-settle-ms", "4000"},
     models = {m1 = {memory_mb = 50000, replicas = 1}, m2 = {memory_mb = 50000, replicas = 1}}}
@@ -145,12 +146,12 @@
   for index = 1, 3 do w:ok(w:chat(index, "m1")) end
   local began = now()
   local cold = w:refused(w:chat(2, "m2"), 503)
-  check(now() - began < 1500, "what cannot be loaded is refused at once: " .. now() - began)
-  check(cold.headers["retry-after"], "with a time to come back")
+  check(now() - began < 1500, "a request for a model that cannot be loaded is refused immediately: " .. now() - began)
+  check(cold.headers["retry-after"], "the refusal has a Retry-After header")
   w:refused(w:label(1, "parcel-8"), 503)
   check(not w:submit(1, "m1", "plan-8"), "a job that cannot be stored is not accepted")
   w:platform_control{outage = false}
-  wait_until(8000, "loads go on", function()
+  wait_until(8000, "loads resume", function()
     local sent = w:chat(2, "m2")
     return w:await(sent).status == 200
   end)
@@ -173,7 +174,7 @@
   call{method = "POST", url = w.store .. "/control", body = encode{speed = 0.01}}
   local sent = w:chat(1, "m1", {deadline_ms = 1000})
   w:refused(sent, 504)
-  check(sent.answer.took_ms < 1500, "refused by the deadline: " .. sent.answer.took_ms)
+  check(sent.answer.took_ms < 1500, "refused soon after the deadline: " .. sent.answer.took_ms)
   call{method = "POST", url = w.store .. "/control", body = encode{speed = 1}}
   wait_until(10000, "m1 is served", function() return w:await(w:chat(2, "m1")).status == 200 end)
   w:check_promises()
@@ -185,8 +186,8 @@
   w:control(w.engines[1], {cut_stream_after = 3})
   local sent = w:chat(2, "m1")
   local got = w:await(sent)
-  check(got.status == 0 or got.body:find("event: error", 1, true), "the caller is told: " .. got.body)
-  check(not got.body:find("[DONE]", 1, true), "no end mark")
+  check(got.status == 0 or got.body:find("event: error", 1, true), "the caller gets an error: " .. got.body)
+  check(not got.body:find("[DONE]", 1, true), "no end marker")
   w:check_promises()
 end)
 
@@ -196,13 +197,13 @@
   w:control(w.engines[1], {cross = true})
   local streamed, whole = w:chat(1, "m1"), w:chat(2, "m1", {stream = false})
   check(w:await(streamed).status == 502, "crossed stream: " .. streamed.answer.status)
-  check(w:await(whole).status == 502, "crossed answer: " .. whole.answer.status)
+  check(w:await(whole).status == 502, "crossed response: " .. whole.answer.status)
   w:control(w.services[1], {cross = true})
   local label = w:label(1, "parcel-10")
   check(w:await(label).status == 502, "crossed label")
-  check(decode(label.answer.body).error.ran == "unknown", "it may have run")
+  check(decode(label.answer.body).error.ran == "unknown", "the outcome is unknown")
   w:control(w.services[1], {cross = false})
-  check(w:await(w:label(2, "parcel-10")).status == 502, "it is not run again")
+  check(w:await(w:label(2, "parcel-10")).status == 502, "the call is not sent again")
   w:check_promises()
 end)
 
@@ -212,8 +213,8 @@
   w:control(w.engines[1], {stall = true})
   local sent = w:chat(1, "m1", {deadline_ms = 1200})
   w:await(sent)
-  check(sent.answer.status ~= 200 or sent.answer.body:find("event: error", 1, true), "an error")
-  check(sent.answer.took_ms < 4500, "in time: " .. sent.answer.took_ms)
+  check(sent.answer.status ~= 200 or sent.answer.body:find("event: error", 1, true), "the request fails")
+  check(sent.answer.took_ms < 4500, "within the time limit: " .. sent.answer.took_ms)
   w:control(w.engines[1], {stall = false})
   w:check_promises()
 end)
@@ -224,8 +225,8 @@
   w:control(w.services[2], {cut = 1})
   local label = w:label(1, "parcel-11")
   check(w:await(label).status == 502, "the outcome is unknown: " .. label.answer.status)
-  check(decode(label.answer.body).error.ran == "unknown", "and said so")
-  for index = 1, 3 do check(w:await(w:label(index, "parcel-11")).status == 502, "never run again") end
+  check(decode(label.answer.body).error.ran == "unknown", "and reported as unknown")
+  for index = 1, 3 do check(w:await(w:label(index, "parcel-11")).status == 502, "the call is never sent again") end
   w:check_promises()
 end)
 
@@ -247,7 +248,7 @@
   wait_until(3000, "the call has arrived", function() return w:control(w.services[1], {}).calls == 1 end)
   w:kill(w.daemons[1])
   local again = w:label(2, "parcel-14")
-  check(w:await(again).status ~= 200, "it is not run a second time")
+  check(w:await(again).status ~= 200, "the call is not reported as successful")
   sleep(1000)
   w:restart_daemon(w.daemons[1])
   check(w:await(w:label(1, "parcel-14")).status == 502, "its outcome stays unknown")
@@ -257,7 +258,7 @@
 scenario("job-outlives-its-daemon", function()
   local w = World.new{engines = 2, engine_flags = {"--token-ms", "100"}}
   local id = w:submit(1, "m1", "plan-2")
-  check(id, "accepted")
+  check(id, "the job is accepted")
   w:kill(w.daemons[1])
   w:await_job(2, id, 20000)
   w:check_promises()
@@ -271,7 +272,7 @@
   local first = call{url = w.daemons[2].url .. "/v1/jobs/" .. id .. "/result"}.body
   signal(w.daemons[1].pid, "CONT")
   sleep(1500)
-  check(call{url = w.daemons[1].url .. "/v1/jobs/" .. id .. "/result"}.body == first, "one result")
+  check(call{url = w.daemons[1].url .. "/v1/jobs/" .. id .. "/result"}.body == first, "both daemons return the same result")
   w:check_promises()
 end)
 
@@ -292,7 +293,7 @@
   local before = runs()
   for number = 1, 9 do w:chat(number % 3 + 1, "m1") end
   for number = 9, #w.sent do w:await(w.sent[number]) end
-  check(runs() == before, "no new work after 3 s")
+  check(runs() == before, "no new requests after 3 s")
   w:check_promises()
 end)
 
@@ -303,7 +304,7 @@
   w:control(engine, {leaving = true})
   sleep(1000)
   local got = w:await(w:chat(2, "m1", {deadline_ms = 1500}))
-  check(got.status ~= 200, "the only replica takes no work")
+  check(got.status ~= 200, "the only replica takes no requests")
   local other = w:chat(3, "m2")
   w:ok(other)
   w:check_promises()
@@ -316,7 +317,7 @@
   w:kill(engine)
   engine.unlisted = true
   w:list_vms()
-  -- The memory went with the VM: the ledger is told, as no engine is left to tell it.
+  -- The memory is lost with the VM. No engine is left to report that to the ledger, so the test does.
   call{method = "POST", url = w.store .. "/ledger", body = encode{vm = engine.vm, reset = true}}
   wait_until(12000, "m1 is served elsewhere", function()
     return w:await(w:chat(2, "m1", {deadline_ms = 2000})).status == 200
@@ -335,7 +336,7 @@
     return call{url = w.daemons[1].operators .. "/readyz", timeout_ms = 500}.status ~= 200
   end)
   for _, sent in ipairs(w.sent) do w:ok(sent) end
-  local status = wait_until(10000, "it has ended", function() return ended(w.daemons[1].pid) end)
+  local status = wait_until(10000, "the daemon has exited", function() return ended(w.daemons[1].pid) end)
   check(status == 0, "exit status 0: " .. status)
   w.daemons[1].down = true
   for number = 1, 6 do w:ok(w:chat(2, "m" .. number)) end
--- a/Scenarios/30-table.lua
+++ b/Scenarios/30-table.lua
@@ -1,7 +1,7 @@
 -- SPDX-FileCopyrightText: 2026 The drumpond developers
 -- SPDX-License-Identifier: Apache-2.0
 --
--- The operators' table: races, lowering, restarts and outages.
+-- The operators' table: concurrent edits, lower replica counts, restarts and outages.
 
 local World = require("world")
 
@@ -25,7 +25,7 @@
   local handles = {edit(w.daemons[1], "race-a", first), edit(w.daemons[2], "race-b", second)}
   local accepted, refused = 0, 0
   for _, handle in ipairs(handles) do
-    local got = wait_until(8000, "an answer", function() return answer(handle) end)
+    local got = wait_until(8000, "a response", function() return answer(handle) end)
     if got.status == 200 then accepted = accepted + 1 end
     if got.status == 409 then
       refused = refused + 1
@@ -34,7 +34,7 @@
   end
   check(accepted == 1 and refused == 1, "one is accepted, one refused: " .. accepted .. " " .. refused)
   local history = decode(call{url = w.daemons[3].operators .. "/v1/table/history?count=1"}.body).changes
-  check(#history == 1 and history[1].revision == seen + 1, "the history holds the accepted one")
+  check(#history == 1 and history[1].revision == seen + 1, "the history contains the accepted edit")
 end)
 
 scenario("edit-whose-answer-was-lost-is-found", function()
@@ -44,10 +44,10 @@
   w:platform_control{lose_answers = 1}
   local body = {revision = seen, change = "lost-1", who = "x", rows = rows}
   local got = w:post_table(w.daemons[1], body)
-  check(got.status == 200 and decode(got.body).revision == seen + 1, "settled: " .. got.body)
+  check(got.status == 200 and decode(got.body).revision == seen + 1, "the edit is found to be committed: " .. got.body)
   local again = w:post_table(w.daemons[2], body)
-  check(again.status == 200 and decode(again.body).revision == seen + 1, "the same edit again: " .. again.body)
-  check(w:table_of(w.daemons[3]).revision == seen + 1, "it took effect once")
+  check(again.status == 200 and decode(again.body).revision == seen + 1, "the same edit is accepted again: " .. again.body)
+  check(w:table_of(w.daemons[3]).revision == seen + 1, "the edit took effect once")
 end)
 
 scenario("lowered-replicas-are-unloaded", function()
@@ -56,10 +56,10 @@
   wait_until(8000, "three replicas", function() return #w:holders("m1") == 3 end)
   w:apply(with_replicas(w, "m1", 1))
   for _, sent in ipairs(w.sent) do w:ok(sent) end
-  wait_until(8000, "one replica is left", function() return #w:holders("m1") == 1 end)
+  wait_until(8000, "one replica remains", function() return #w:holders("m1") == 1 end)
   w:ok(w:chat(1, "m1"))
   w:apply(with_replicas(w, "m1", 0))
-  wait_until(8000, "none is left", function() return #w:holders("m1") == 0 end)
+  wait_until(8000, "no replica remains", function() return #w:holders("m1") == 0 end)
   w:refused(w:chat(2, "m1"), 503)
   w:check_promises()
 end)
@@ -81,7 +81,7 @@
   w:restart_daemon(w.daemons[2], {"--seeds", "entry-1=" .. w.daemons[1].peers .. ",entry-3=" .. w.daemons[3].peers})
   check(w:dump(w.daemons[2]).table_revision == revision, "the table comes from the peers")
   w:platform_control{outage = false}
-  check(w:apply(with_replicas(w, "m1", 3), w.daemons[2]) == revision + 1, "and goes on")
+  check(w:apply(with_replicas(w, "m1", 3), w.daemons[2]) == revision + 1, "edits are accepted again")
 end)
 
 scenario("lone-daemon-without-platform-refuses", function()
@@ -91,7 +91,7 @@
   w:kill(w.daemons[2])
   w.daemons[1].down = nil
   w:start_daemon(w.daemons[1])
-  wait_until(5000, "it answers", function()
+  wait_until(5000, "the daemon responds", function()
     return call{url = w.daemons[1].operators .. "/healthz", timeout_ms = 500}.status == 200
   end)
   check(call{url = w.daemons[1].operators .. "/readyz"}.status == 503, "not ready")
@@ -102,7 +102,7 @@
 
 scenario("claim-against-an-old-table-is-refused", function()
   local w = World.new{engines = 2, models = {m1 = {memory_mb = 20000, replicas = 2, limit = 1}, m2 = {memory_mb = 1000, replicas = 1}}}
-  -- The keeper works with an old revision while the table is lowered elsewhere.
+  -- Requests may cause claims under the old revision while the replica count is lowered elsewhere.
   w:ok(w:chat(1, "m1"))
   local rows = with_replicas(w, "m1", 1)
   local seen = w:table_of(w.daemons[1]).revision
@@ -114,7 +114,7 @@
   w:check_promises()
 end)
 
--- A daemon that is cut off from its peers and does not poll has an old table; the platform answers.
+-- A daemon that is cut off from its peers and does not poll has an old table, while the platform is reachable.
 scenario("claim-with-an-old-table-in-a-cut-is-refused", function()
   local w = World.new{data_centres = {"a", "b"}, daemons = 2, engines = 2, relays = true,
     daemon_flags = {"--table-poll-ms", "60000"}, models = {m1 = {memory_mb = 20000, replicas = 2}}}
--- a/Scenarios/40-pairs.lua
+++ b/Scenarios/40-pairs.lua
@@ -1,7 +1,7 @@
 -- SPDX-FileCopyrightText: 2026 The drumpond developers
 -- SPDX-License-Identifier: Apache-2.0
 --
--- Failures together, or the same one twice; data centres cut off from each other.
+-- Two faults at once, or the same fault twice, and network partitions between data centres.
 
 local World = require("world")
 
@@ -28,13 +28,13 @@
     w:refused(sent, 503)
   end
   local revision = w:dump(w.daemons[2]).table_revision
-  -- The others go on, and the table changes without b.
+  -- The other data centres continue, and the table is edited while b is cut off.
   local rows = w:table_of(w.daemons[1]).rows
   rows.__array = true
   rows[#rows + 1] = {kind = "setting", name = "note", value = "cut"}
   local got = w:post_table(w.daemons[1], {revision = revision, change = "during-cut", who = "x", rows = rows})
   check(got.status == 200, "an edit while b is cut off: " .. got.body)
-  check(w:dump(w.daemons[2]).table_revision == revision, "b goes on with its revision")
+  check(w:dump(w.daemons[2]).table_revision == revision, "b keeps its revision")
   w:cut_off("b", false, true)
   wait_until(5000, "b has caught up", function() return w:dump(w.daemons[2]).table_revision == revision + 1 end)
   for number = 1, 6 do w:ok(w:chat(number, "m" .. number, {deadline_ms = 12000})) end
@@ -48,7 +48,7 @@
   w:storm(24, {deadline_ms = 6000})
   w:check_promises()
   w:cut_off("a", false, false)
-  wait_until(8000, "joined", function()
+  wait_until(8000, "all daemons serve all models again", function()
     for number = 1, 6 do
       if w:await(w:chat(number, "m" .. number, {deadline_ms = 4000})).status ~= 200 then return false end
     end
@@ -66,7 +66,7 @@
   for number = 1, 3 do w:ok(w:chat(2, "m" .. number)) end
   w:refused(w:chat(3, "m5"), 503)
   w:platform_control{outage = false}
-  wait_until(10000, "loads go on", function() return w:await(w:chat(3, "m5", {deadline_ms = 3000})).status == 200 end)
+  wait_until(10000, "loads resume", function() return w:await(w:chat(3, "m5", {deadline_ms = 3000})).status == 200 end)
   w:restart_daemon(w.daemons[1])
   w:ok(w:chat(1, "m6", {deadline_ms = 10000}))
   w:check_promises()
@@ -140,11 +140,11 @@
   end
   local accepted = 0
   for _, handle in ipairs(handles) do
-    local got = wait_until(10000, "an answer", function() return answer(handle) end)
+    local got = wait_until(10000, "a response", function() return answer(handle) end)
     if got.status == 200 then accepted = accepted + 1 end
   end
   check(accepted == 1, "exactly one edit is accepted: " .. accepted)
-  check(w:table_of(w.daemons[2]).revision == seen + 1, "one revision more")
+  check(w:table_of(w.daemons[2]).revision == seen + 1, "the revision increased by one")
 end)
 
 scenario("pair-two-engines-die-while-the-platform-is-slow", function()
--- a/Scenarios/Library/world.lua
+++ b/Scenarios/Library/world.lua
@@ -1,8 +1,8 @@
 -- SPDX-FileCopyrightText: 2026 The drumpond developers
 -- SPDX-License-Identifier: Apache-2.0
 --
--- The small language of the scenarios: a world of daemons and stand-ins, requests to it, failures,
--- and checks that read only what the stand-ins recorded.
+-- Library of the scenarios: a world of daemons and stand-ins, requests to it, faults, and checks that
+-- rely on the records of the stand-ins only.
 
 local World = {}
 World.__index = World
@@ -17,7 +17,7 @@
   if not condition then error("check failed: " .. message, 2) end
 end
 
--- Waits until `condition` gives a true value, and returns it.
+-- Waits until `condition` returns a true value, and returns that value.
 function wait_until(limit_ms, what, condition)
   local began = now()
   while true do
@@ -33,16 +33,18 @@
   return list
 end
 
--- A blocking request.
+-- Sends a request and waits for the response.
 function call(options)
   local id = request(options)
-  return wait_until((options.timeout_ms or 20000) + 2000, "answer from " .. options.url, function()
+  return wait_until((options.timeout_ms or 20000) + 2000, "response from " .. options.url, function()
     return answer(id)
   end)
 end
 
--- options: data_centres, daemons (in all), engines (in all), services, ignore_fencing (engines that
--- do), engine_flags, daemon_flags, models (name -> {memory_mb, replicas, ...}), relays
+-- options: data_centres; daemons and engines (totals over all data centres); services;
+-- ignore_fencing (for all engines); engine_flags, daemon_flags, store_flags;
+-- models (name -> {memory_mb, replicas, ...}); adapters (name -> {parent, memory_mb, replicas});
+-- exchange_rate; relays (between the data centres)
 function World.new(options)
   local self = setmetatable({}, World)
   self.options = options or {}
@@ -73,7 +75,7 @@
 end
 
 function World:await_http(url)
-  wait_until(10000, "answer from " .. url, function()
+  wait_until(10000, "response from " .. url, function()
     return call{url = url, timeout_ms = 1000}.status ~= 0
   end)
 end
@@ -134,7 +136,7 @@
   return got.status == 200 and decode(got.body) or nil
 end
 
--- Until every daemon hears all others, and knows every engine.
+-- Waits until every daemon sees all daemons as alive and all engines as ready.
 function World:await_connected()
   for _, daemon in ipairs(self.daemons) do
     wait_until(10000, daemon.vm .. " is connected", function()
@@ -148,7 +150,7 @@
   end
 end
 
--- Relays between each pair of daemons of different data centres.
+-- Opens a relay for each direction between each pair of daemons in different data centres.
 local relay_port = 20000
 function World:open_relays()
   self.relays = {}
@@ -210,8 +212,8 @@
   return decode(call{url = self.store .. "/control"}.body)
 end
 
--- Cuts a data centre off from the others, or joins it again: daemons, backend servers, and with
--- `platform` the platform too.
+-- Starts or ends a network partition between a data centre and the others. It affects daemons and
+-- backend servers, and with `platform` also the calls to the platform by the daemons inside.
 function World:cut_off(centre, is_cut, platform)
   for _, link in ipairs(self.relays) do
     if (link.from.centre == centre) ~= (link.to.centre == centre) then cut(link.id, is_cut) end
@@ -234,7 +236,7 @@
   return models
 end
 
--- The rows of the table that the world runs.
+-- Rows of the initial table.
 function World:rows()
   local rows = {__array = true}
   local function add(row) rows[#rows + 1] = row end
@@ -304,7 +306,7 @@
   return string.format("q%d.%d", request_number, now())
 end
 
--- Sends a chat to daemon number `index`; the answer is judged by `finish`.
+-- Sends a chat to daemon number `index`; `judge` checks the response.
 function World:chat(index, model, options)
   options = options or {}
   local id = new_request_id()
@@ -320,7 +322,7 @@
   return sent
 end
 
--- Chats for all models at all live daemons; each daemon asks for each model in turn.
+-- Sends chats for all models to all running daemons; each daemon gets one for each model in turn.
 function World:storm(count, options)
   for number = 1, count do
     local index = (number - 1) % #self.daemons + 1
@@ -329,11 +331,12 @@
   end
 end
 
--- A first chat for m1 whose load order is held back for 3 s; gives the chat and the order's sender.
+-- Sends a first chat for m1 whose load order is delayed by 3 s; returns the chat and the daemon that
+-- sends the order.
 function World:hold_first_order(deadline_ms)
   self:control(self.engines[1], {order_delay_ms = 3000})
   local sent = self:chat(1, "m1", {deadline_ms = deadline_ms})
-  wait_until(5000, "the claim stands", function() return #self:claims() > 0 end)
+  wait_until(5000, "a claim is written", function() return #self:claims() > 0 end)
   sleep(150)
   self:control(self.engines[1], {order_delay_ms = 0})
   return sent, self:daemon_of(self:claims()[1].claim.holder)
@@ -367,7 +370,7 @@
 end
 
 function World:await(sent, slack_ms)
-  sent.answer = wait_until(sent.deadline + (slack_ms or 6000), "an answer to " .. sent.id, function()
+  sent.answer = wait_until(sent.deadline + (slack_ms or 6000), "a response to " .. sent.id, function()
     return answer(sent.handle)
   end)
   return sent.answer
@@ -380,31 +383,31 @@
   return got
 end
 
--- A refusal that says not_run.
+-- Expects a refusal that states not_run.
 function World:refused(sent, status)
   local got = self:await(sent)
   check(got.status == status, sent.id .. " is refused with " .. status .. ": " .. got.status .. " " .. got.body)
-  check(decode(got.body).error.ran == "not_run", "the refusal says not_run: " .. got.body)
+  check(decode(got.body).error.ran == "not_run", "the refusal states not_run: " .. got.body)
   return got
 end
 
--- A whole answer holds this request's tokens, all of them, and nothing of another's.
+-- A complete response contains all tokens of its own request and none of another request.
 function World:judge(sent)
   local body = sent.answer.body
   if sent.kind ~= "chat" or sent.answer.status ~= 200 then return end
   local tokens = 0
   for owner, number in body:gmatch("(q%d+%.%d+):(%d+) ") do
-    check(owner == sent.id, "the answer of " .. sent.id .. " holds only its own tokens")
-    check(tonumber(number) == tokens, "the tokens of " .. sent.id .. " come in order")
+    check(owner == sent.id, "the response to " .. sent.id .. " contains only its own tokens")
+    check(tonumber(number) == tokens, "the tokens of " .. sent.id .. " are in order")
     tokens = tokens + 1
   end
   local marked = not sent.stream or body:find("data: [DONE]", 1, true)
   local told = body:find("event: error", 1, true)
   check(told or (marked and tokens == sent.max_tokens),
-    "a stream without its end is told as an error: " .. sent.id)
+    "an incomplete stream ends with an error: " .. sent.id)
 end
 
--- The promises, by the stand-ins' records.
+-- Checks the guarantees of the system against the records of the stand-ins.
 function World:check_promises()
   for _, sent in ipairs(self.sent) do
     if not sent.answer then self:await(sent) end
@@ -415,7 +418,7 @@
   for _, engine in ipairs(self.engines) do
     if not engine.down then
       local record = self:control(engine, {})
-      check(not record.overcommitted, engine.vm .. " never held more than its memory: " .. record.peak_mb)
+      check(not record.overcommitted, engine.vm .. " never used more than its memory: " .. record.peak_mb)
       for id, count in pairs(record.runs) do runs[id] = (runs[id] or 0) + count end
     end
   end
@@ -427,7 +430,7 @@
   for _, sent in ipairs(self.sent) do
     local refusal = sent.answer.status ~= 200 and decode(sent.answer.body)
     if type(refusal) == "table" and refusal.error and refusal.error.ran == "not_run" then
-      check((runs[sent.id] or 0) == 0, "a refusal that says not_run is true: " .. sent.id)
+      check((runs[sent.id] or 0) == 0, "a request refused with not_run has not run: " .. sent.id)
     end
   end
   for key in pairs(self.keys) do
@@ -435,11 +438,11 @@
   end
   for artifact, peak in pairs(self:ledger().peaks) do
     check(peak <= (self.replicas[artifact] or 0), "no more replicas of " .. artifact ..
-      " than the table decided: " .. peak)
+      " than the table allows: " .. peak)
   end
 end
 
--- Where an artifact is held now, by the ledger.
+-- VMs that hold an artifact now, according to the weight store's ledger.
 function World:holders(artifact)
   return self:ledger().holders[artifact] or {}
 end
@@ -453,7 +456,7 @@
 end
 
 function World:keeper_of(vm)
-  return wait_until(5000, "a keeper of " .. vm, function()
+  return wait_until(5000, "a daemon that manages " .. vm, function()
     for _, daemon in ipairs(self.daemons) do
       local dump = not daemon.down and self:dump(daemon)
       for _, server in ipairs(dump and dump.servers or {}) do
@@ -465,7 +468,7 @@
 
 function World:kill(process)
   signal(process.pid, "KILL")
-  wait_until(5000, "the process has ended", function() return ended(process.pid) end)
+  wait_until(5000, "the process has exited", function() return ended(process.pid) end)
   process.down = true
 end
 
@@ -480,7 +483,7 @@
   self:start_engine(engine)
 end
 
--- Claims as the platform holds them: list of {server, claim}.
+-- Claims in the platform's rows, as a list of {server, claim}.
 function World:claims()
   local claims = {}
   for key, value in pairs(self:platform_rows()) do
