--- a/Models/CrashingRequest.pml
+++ b/Models/CrashingRequest.pml
@@ -15,43 +15,43 @@
  * guards: EACH_ALONE NOT_TOLD_AGAIN NOTHING_KEPT */
 
 #define DAEMONS 2
-#define CRASHES_TO_BLOCK 3
-#define INSTANCES 7
-#define MAX_LATE_SENDS 3
+#define LIMIT 3
+#define LIVES 7
+#define LATE_ALLOWED 3
 
-byte crashes = 0;          /* crashed server instances; instance i is bit i of the sets below */
-byte observed[DAEMONS];    /* observed by the daemon itself */
+byte ended = 0;            /* crashed server instances; instance i is bit i of the sets below */
+byte own[DAEMONS];         /* observed by the daemon itself */
 byte known[DAEMONS];       /* observed, or received from the holder */
 byte confirmed[DAEMONS];   /* its observations that the current holder has confirmed */
-byte holder_known = 0;     /* all crashes known to the holder */
-byte stored = 0;           /* stored on the platform */
-byte late_sends = 0;       /* requests sent when all daemons had to know */
-bool all_informed = false; /* all messages after the third crash have arrived */
-bool any_killed = false;
-byte killed_after_store = 0;
+byte added_up = 0;         /* all crashes known to the holder */
+byte row = 0;              /* stored on the platform */
+byte late = 0;             /* requests sent when all daemons had to know */
+bool told = false;         /* all messages after the third crash have arrived */
+bool lost_something = false;
+byte killed_later = 0;
 byte holder_changes = 0;
 
-#define Count(set) (((set) & 1) + (((set) >> 1) & 1) + (((set) >> 2) & 1) + (((set) >> 3) & 1) + \
-                  (((set) >> 4) & 1) + (((set) >> 5) & 1) + (((set) >> 6) & 1))
-#define Lacks(have, want) ((have | want) != have)
-#define IsBlocked(d) (Count(known[d]) >= CRASHES_TO_BLOCK)
+#define Count(s) (((s) & 1) + (((s) >> 1) & 1) + (((s) >> 2) & 1) + (((s) >> 3) & 1) + \
+                  (((s) >> 4) & 1) + (((s) >> 5) & 1) + (((s) >> 6) & 1))
+#define Missing(have, want) ((have | want) != have)
+#define IsBlocked(d) (Count(known[d]) >= LIMIT)
 
 #ifdef EACH_ALONE
-#define AllInformed() (true)
+#define AllTold() (true)
 #else
-#define AllInformed() (!Lacks(confirmed[0], observed[0]) && !Lacks(confirmed[1], observed[1]) && \
-                   !Lacks(known[0], holder_known) && !Lacks(known[1], holder_known) && \
-                   (Count(holder_known) < CRASHES_TO_BLOCK || stored != 0))
+#define AllTold() (!Missing(confirmed[0], own[0]) && !Missing(confirmed[1], own[1]) && \
+                   !Missing(known[0], added_up) && !Missing(known[1], added_up) && \
+                   (Count(added_up) < LIMIT || row != 0))
 #endif
 
-inline Restart(d)
+inline Forget(d)
 {
-  observed[d] = 0;
+  own[d] = 0;
   confirmed[d] = 0;
 #ifdef NOTHING_KEPT
   known[d] = 0;
 #else
-  known[d] = stored;
+  known[d] = row;
 #endif
 }
 
@@ -60,31 +60,31 @@
 end:
   do
   :: atomic {
-       crashes < INSTANCES && !IsBlocked(d) && (!all_informed || AllInformed()) ->
+       ended < LIVES && !IsBlocked(d) && (!told || AllTold()) ->
        if
-       :: all_informed -> late_sends++; assert(late_sends <= MAX_LATE_SENDS); assert(any_killed)
+       :: told -> late++; assert(late <= LATE_ALLOWED); assert(lost_something)
        :: else
        fi;
-       observed[d] = observed[d] | (1 << crashes);
-       known[d] = known[d] | (1 << crashes);
-       crashes++
+       own[d] = own[d] | (1 << ended);
+       known[d] = known[d] | (1 << ended);
+       ended++
      }
 #ifndef EACH_ALONE
   :: atomic { /* a report arrives; its confirmation may be lost */
-       Lacks(confirmed[d], observed[d]) ->
-       holder_known = holder_known | observed[d];
+       Missing(confirmed[d], own[d]) ->
+       added_up = added_up | own[d];
        if
-       :: confirmed[d] = observed[d]
+       :: confirmed[d] = own[d]
        :: skip
        fi
      }
-  :: atomic { Lacks(known[d], holder_known) -> known[d] = known[d] | holder_known }
+  :: atomic { Missing(known[d], added_up) -> known[d] = known[d] | added_up }
 #endif
-  :: atomic { !any_killed -> any_killed = true; Restart(d) }
+  :: atomic { !lost_something -> lost_something = true; Forget(d) }
   :: atomic { /* the daemon takes the lease */
        holder_changes < 1 ->
        holder_changes++;
-       holder_known = known[d];
+       added_up = known[d];
 #ifndef NOT_TOLD_AGAIN
        confirmed[0] = 0;
        confirmed[1] = 0
@@ -97,23 +97,23 @@
 {
 end:
   do
-  :: atomic { Count(holder_known) >= CRASHES_TO_BLOCK && stored != holder_known -> stored = holder_known }
+  :: atomic { Count(added_up) >= LIMIT && row != added_up -> row = added_up }
   od
 }
 
-proctype Environment()
+proctype Time()
 {
 end:
   do
-  :: atomic { !all_informed && crashes >= CRASHES_TO_BLOCK && AllInformed() -> all_informed = true }
+  :: atomic { !told && ended >= LIMIT && AllTold() -> told = true }
   :: atomic {
        if
-       :: stored != 0 && killed_after_store < 1 -> killed_after_store++
-       :: !any_killed -> any_killed = true
+       :: row != 0 && killed_later < 1 -> killed_later++
+       :: !lost_something -> lost_something = true
        fi;
-       Restart(0);
-       Restart(1);
-       holder_known = known[0]
+       Forget(0);
+       Forget(1);
+       added_up = known[0]
      }
   od
 }
@@ -124,6 +124,6 @@
     run Daemon(0);
     run Daemon(1);
     run Store();
-    run Environment()
+    run Time()
   }
 }
--- a/Models/ServerLife.pml
+++ b/Models/ServerLife.pml
@@ -12,46 +12,45 @@
  * holder's sequence to the server's.
  * guards: NO_START NO_ROOM ONLY_THE_LIFE_BEFORE */
 
-#define CAPACITY 2
-#define MAX_ORDERS 7 /* in total */
+#define PLACES 2
+#define ORDERS 7  /* in total */
 #define RESTARTS 2
-#define MAX_PENDING 3
+#define UNDER_WAY 3
 
-byte loaded = 0;   /* number of loaded models; which ones does not matter */
+byte held = 0;     /* number of loaded models; which ones does not matter */
 byte sequence = 0; /* orders that the current instance has accepted */
-byte instance = 0;
+byte life = 0;
 
 /* Orders that the server may still carry out. */
-bool in_transit[MAX_PENDING];
-bool is_load[MAX_PENDING];
-byte expected_sequence[MAX_PENDING];
+bool waits[UNDER_WAY];
+bool is_load[UNDER_WAY];
+byte expects[UNDER_WAY];
 
 /* State of the server as known to the holder. */
-byte known_instance = 0;
-byte known_loaded = 0;
+byte known_life = 0;
+byte known_held = 0;
 byte known_sequence = 0;
-bool awaiting_result = false; /* its last order has no result yet */
+bool open = false; /* its last order has no result yet */
 /* Loads without a result, and the instance that each was sent to. They count until they can no longer
  * arrive. The program counts them for as long as servers are known to carry out orders late. */
-bool unresolved_load[MAX_PENDING];
-byte sent_to_instance[MAX_PENDING];
+bool unanswered[UNDER_WAY];
+byte sent_in[UNDER_WAY];
 
-byte orders_sent = 0;
-byte index;
+byte given = 0;
+byte place;
 
-#define CanSend() \
-  ((!in_transit[0] && !unresolved_load[0]) || (!in_transit[1] && !unresolved_load[1]) || \
-   (!in_transit[2] && !unresolved_load[2]))
+#define Free() \
+  ((!waits[0] && !unanswered[0]) || (!waits[1] && !unanswered[1]) || (!waits[2] && !unanswered[2]))
 
-inline Execute(number)
+inline Carry(n)
 {
-  in_transit[number] = false;
+  waits[n] = false;
   if
-  :: expected_sequence[number] == sequence && is_load[number] ->
-     assert(loaded < CAPACITY);
-     loaded++; sequence++
-  :: expected_sequence[number] == sequence && !is_load[number] && loaded > 0 ->
-     loaded--; sequence++
+  :: expects[n] == sequence && is_load[n] ->
+     assert(held < PLACES);
+     held++; sequence++
+  :: expects[n] == sequence && !is_load[n] && held > 0 ->
+     held--; sequence++
   :: else -> skip /* rejected */
   fi
 }
@@ -60,54 +59,54 @@
 {
   byte restarts = 0;
   do
-  :: atomic { restarts < RESTARTS -> restarts++; instance++; loaded = 0; sequence = 0 }
-  :: atomic { in_transit[0] -> Execute(0) }
-  :: atomic { in_transit[1] -> Execute(1) }
-  :: atomic { in_transit[2] -> Execute(2) }
+  :: atomic { restarts < RESTARTS -> restarts++; life++; held = 0; sequence = 0 }
+  :: atomic { waits[0] -> Carry(0) }
+  :: atomic { waits[1] -> Carry(1) }
+  :: atomic { waits[2] -> Carry(2) }
   od
 }
 
 inline Send(load)
 {
   if
-  :: !in_transit[0] && !unresolved_load[0] -> index = 0
-  :: !in_transit[1] && !unresolved_load[1] -> index = 1
-  :: !in_transit[2] && !unresolved_load[2] -> index = 2
+  :: !waits[0] && !unanswered[0] -> place = 0
+  :: !waits[1] && !unanswered[1] -> place = 1
+  :: !waits[2] && !unanswered[2] -> place = 2
   fi;
-  in_transit[index] = true;
-  is_load[index] = load;
-  expected_sequence[index] = known_sequence;
-  unresolved_load[index] = load;
-  sent_to_instance[index] = known_instance;
-  awaiting_result = true;
-  orders_sent++
+  waits[place] = true;
+  is_load[place] = load;
+  expects[place] = known_sequence;
+  unanswered[place] = load;
+  sent_in[place] = known_life;
+  open = true;
+  given++
 }
 
 /* A report states instance, sequence and models at one moment. */
-inline ReadReport()
+inline Look()
 {
 #ifdef NO_START
-  known_instance = instance;
+  known_life = life;
 #endif
   if
-  :: known_instance != instance ->
+  :: known_life != life ->
      /* The known state is void, except for the loads that may still arrive. */
-     awaiting_result = false;
-     known_instance = instance;
+     open = false;
+     known_life = life;
      known_sequence = sequence
-  :: known_instance == instance && sequence > known_sequence -> known_sequence = sequence; awaiting_result = false
+  :: known_life == life && sequence > known_sequence -> known_sequence = sequence; open = false
   :: else -> skip
   fi;
-  known_loaded = loaded;
+  known_held = held;
   assert(known_sequence == sequence);
-  index = 0;
+  place = 0;
   do
-  :: index < MAX_PENDING ->
+  :: place < UNDER_WAY ->
      if
-     :: !in_transit[index] -> unresolved_load[index] = false
+     :: !waits[place] -> unanswered[place] = false
      :: else -> skip
      fi;
-     index++
+     place++
   :: else -> break
   od
 }
@@ -116,31 +115,31 @@
 {
   byte reserved;
   do
-  :: atomic { ReadReport() }
+  :: atomic { Look() }
   :: atomic {
-       !awaiting_result && orders_sent < MAX_ORDERS && CanSend() ->
+       !open && given < ORDERS && Free() ->
        reserved = 0;
 #ifndef NO_ROOM
-       index = 0;
+       place = 0;
        do
-       :: index < MAX_PENDING ->
+       :: place < UNDER_WAY ->
           if
-          :: unresolved_load[index] && expected_sequence[index] >= known_sequence &&
+          :: unanswered[place] && expects[place] >= known_sequence &&
 #ifdef ONLY_THE_LIFE_BEFORE
-             sent_to_instance[index] + 1 == known_instance
+             sent_in[place] + 1 == known_life
 #else
-             sent_to_instance[index] != known_instance
+             sent_in[place] != known_life
 #endif
              -> reserved++
           :: else -> skip
           fi;
-          index++
+          place++
        :: else -> break
        od;
 #endif
        if
-       :: known_loaded + reserved < CAPACITY -> Send(true)
-       :: known_loaded > 0 -> Send(false)
+       :: known_held + reserved < PLACES -> Send(true)
+       :: known_held > 0 -> Send(false)
        :: else -> skip
        fi
      }
