--- a/Models/Claim.pml
+++ b/Models/Claim.pml
@@ -17,30 +17,30 @@
 #define NONE 9
 #define CHECKS(server) ((server) == 0)
 
-byte claimed = NONE;     /* the server of the claim on the slot */
-byte claim_order;        /* number of the order that the claim permits */
-bool claim_loaded;       /* its order is known to have completed */
-bool claim_fenced;       /* the server has confirmed a number above the claim's */
-byte row_fence[2];       /* in the platform's row of the server */
-byte engine_fence[2];    /* highest number that the server has seen */
+byte claimed = NONE;  /* the server of the claim on the slot */
+byte claim_order;     /* number of the order that the claim permits */
+bool claim_loaded;    /* its order is known to have completed */
+bool claim_fenced;    /* the server has confirmed a number above the claim's */
+byte row_fence[2];    /* in the platform's row of the server */
+byte server_fence[2]; /* highest number that the server has seen */
 bool loaded[2];
-bool dead[2];
+bool terminated[2];
 
 /* Index of an order: number of the daemon * 2 + its attempt. */
-mtype = { unsent, flying, arrived };
+mtype = { unsent, in_transit, arrived };
 mtype order[4] = unsent;
 byte order_fence[4];
 byte order_server[4];
 
 #define HOLDER (claim_order / 2)
-#define FREE atomic { claimed = NONE; claim_loaded = false; claim_fenced = false }
+#define FREE_CLAIM atomic { claimed = NONE; claim_loaded = false; claim_fenced = false }
 
-proctype Daemon(byte me)
+proctype Daemon(byte id)
 {
-  byte try = 0, number, server;
+  byte attempt = 0, number, server;
   do
-  :: try < 2 ->
-     number = me * 2 + try;
+  :: attempt < 2 ->
+     number = id * 2 + attempt;
      if :: server = 0 :: server = 1 fi;
      atomic {
 #ifdef NO_CLAIM
@@ -54,34 +54,34 @@
      }
      /* The daemon may be suspended here without noticing. */
      if
-     :: order[number] = flying
-     :: atomic { dead[me] = true; break }
+     :: order[number] = in_transit
+     :: atomic { terminated[id] = true; break }
      fi;
-     try++
-  :: atomic { dead[me] = true; break }
+     attempt++
+  :: atomic { terminated[id] = true; break }
   od
 }
 
-proctype Engine()
+proctype Servers()
 {
   byte number, server;
 end:
   do
   :: atomic {
        if
-       :: order[0] == flying -> number = 0
-       :: order[1] == flying -> number = 1
-       :: order[2] == flying -> number = 2
-       :: order[3] == flying -> number = 3
+       :: order[0] == in_transit -> number = 0
+       :: order[1] == in_transit -> number = 1
+       :: order[2] == in_transit -> number = 2
+       :: order[3] == in_transit -> number = 3
        fi;
        order[number] = arrived;
        server = order_server[number];
        if
-       :: CHECKS(server) && order_fence[number] < engine_fence[server] -> skip
+       :: CHECKS(server) && order_fence[number] < server_fence[server] -> skip
        :: else ->
           loaded[server] = true;
           if
-          :: order_fence[number] > engine_fence[server] -> engine_fence[server] = order_fence[number]
+          :: order_fence[number] > server_fence[server] -> server_fence[server] = order_fence[number]
           :: else -> skip
           fi
        fi
@@ -89,25 +89,25 @@
   od
 }
 
-proctype Keeper()
+proctype Reconciler()
 {
 end:
   do
   :: atomic { claimed != NONE && !claim_loaded && loaded[claimed] -> claim_loaded = true }
-  :: atomic { claimed != NONE && claim_loaded -> loaded[claimed] = false; FREE }
+  :: atomic { claimed != NONE && claim_loaded -> loaded[claimed] = false; FREE_CLAIM }
   :: atomic { claimed != NONE && !claim_loaded && !claim_fenced && CHECKS(claimed) ->
 #ifndef NO_FENCE
-       row_fence[claimed]++; engine_fence[claimed] = row_fence[claimed];
+       row_fence[claimed]++; server_fence[claimed] = row_fence[claimed];
 #endif
        claim_fenced = true }
-  :: atomic { claimed != NONE && !claim_loaded && claim_fenced && !loaded[claimed] -> FREE }
+  :: atomic { claimed != NONE && !claim_loaded && claim_fenced && !loaded[claimed] -> FREE_CLAIM }
   :: atomic { claimed != NONE && !claim_loaded && !CHECKS(claimed) && !loaded[claimed] &&
 #ifdef NO_QUARANTINE
        true
 #else
-       dead[HOLDER] && order[claim_order] != flying
+       terminated[HOLDER] && order[claim_order] != in_transit
 #endif
-       -> FREE }
+       -> FREE_CLAIM }
   od
 }
 
@@ -120,5 +120,5 @@
 
 init
 {
-  atomic { run Daemon(0); run Daemon(1); run Engine(); run Keeper() }
+  atomic { run Daemon(0); run Daemon(1); run Servers(); run Reconciler() }
 }
--- a/Models/CrashingRequest.pml
+++ b/Models/CrashingRequest.pml
@@ -15,43 +15,43 @@
  * guards: EACH_ALONE NOT_TOLD_AGAIN NOTHING_KEPT */
 
 #define DAEMONS 2
-#define LIMIT 3
-#define LIVES 7
-#define LATE_ALLOWED 3
+#define CRASHES_TO_BLOCK 3
+#define INSTANCES 7
+#define MAX_LATE_SENDS 3
 
-byte ended = 0;            /* crashed server instances; instance i is bit i of the sets below */
-byte own[DAEMONS];         /* observed by the daemon itself */
+byte crashes = 0;          /* crashed server instances; instance i is bit i of the sets below */
+byte observed[DAEMONS];    /* observed by the daemon itself */
 byte known[DAEMONS];       /* observed, or received from the holder */
 byte confirmed[DAEMONS];   /* its observations that the current holder has confirmed */
-byte added_up = 0;         /* all crashes known to the holder */
-byte row = 0;              /* stored on the platform */
-byte late = 0;             /* requests sent when all daemons had to know */
-bool told = false;         /* all messages after the third crash have arrived */
-bool lost_something = false;
-byte killed_later = 0;
+byte holder_known = 0;     /* all crashes known to the holder */
+byte stored = 0;           /* stored on the platform */
+byte late_sends = 0;       /* requests sent when all daemons had to know */
+bool all_informed = false; /* all messages after the third crash have arrived */
+bool any_killed = false;
+byte killed_after_store = 0;
 byte holder_changes = 0;
 
-#define Count(s) (((s) & 1) + (((s) >> 1) & 1) + (((s) >> 2) & 1) + (((s) >> 3) & 1) + \
-                  (((s) >> 4) & 1) + (((s) >> 5) & 1) + (((s) >> 6) & 1))
-#define Missing(have, want) ((have | want) != have)
-#define IsBlocked(d) (Count(known[d]) >= LIMIT)
+#define Count(set) (((set) & 1) + (((set) >> 1) & 1) + (((set) >> 2) & 1) + (((set) >> 3) & 1) + \
+                  (((set) >> 4) & 1) + (((set) >> 5) & 1) + (((set) >> 6) & 1))
+#define Lacks(have, want) ((have | want) != have)
+#define IsBlocked(d) (Count(known[d]) >= CRASHES_TO_BLOCK)
 
 #ifdef EACH_ALONE
-#define AllTold() (true)
+#define AllInformed() (true)
 #else
-#define AllTold() (!Missing(confirmed[0], own[0]) && !Missing(confirmed[1], own[1]) && \
-                   !Missing(known[0], added_up) && !Missing(known[1], added_up) && \
-                   (Count(added_up) < LIMIT || row != 0))
+#define AllInformed() (!Lacks(confirmed[0], observed[0]) && !Lacks(confirmed[1], observed[1]) && \
+                   !Lacks(known[0], holder_known) && !Lacks(known[1], holder_known) && \
+                   (Count(holder_known) < CRASHES_TO_BLOCK || stored != 0))
 #endif
 
-inline Forget(d)
+inline Restart(d)
 {
-  own[d] = 0;
+  observed[d] = 0;
   confirmed[d] = 0;
 #ifdef NOTHING_KEPT
   known[d] = 0;
 #else
-  known[d] = row;
+  known[d] = stored;
 #endif
 }
 
@@ -60,31 +60,31 @@
 end:
   do
   :: atomic {
-       ended < LIVES && !IsBlocked(d) && (!told || AllTold()) ->
+       crashes < INSTANCES && !IsBlocked(d) && (!all_informed || AllInformed()) ->
        if
-       :: told -> late++; assert(late <= LATE_ALLOWED); assert(lost_something)
+       :: all_informed -> late_sends++; assert(late_sends <= MAX_LATE_SENDS); assert(any_killed)
        :: else
        fi;
-       own[d] = own[d] | (1 << ended);
-       known[d] = known[d] | (1 << ended);
-       ended++
+       observed[d] = observed[d] | (1 << crashes);
+       known[d] = known[d] | (1 << crashes);
+       crashes++
      }
 #ifndef EACH_ALONE
   :: atomic { /* a report arrives; its confirmation may be lost */
-       Missing(confirmed[d], own[d]) ->
-       added_up = added_up | own[d];
+       Lacks(confirmed[d], observed[d]) ->
+       holder_known = holder_known | observed[d];
        if
-       :: confirmed[d] = own[d]
+       :: confirmed[d] = observed[d]
        :: skip
        fi
      }
-  :: atomic { Missing(known[d], added_up) -> known[d] = known[d] | added_up }
+  :: atomic { Lacks(known[d], holder_known) -> known[d] = known[d] | holder_known }
 #endif
-  :: atomic { !lost_something -> lost_something = true; Forget(d) }
+  :: atomic { !any_killed -> any_killed = true; Restart(d) }
   :: atomic { /* the daemon takes the lease */
        holder_changes < 1 ->
        holder_changes++;
-       added_up = known[d];
+       holder_known = known[d];
 #ifndef NOT_TOLD_AGAIN
        confirmed[0] = 0;
        confirmed[1] = 0
@@ -97,23 +97,23 @@
 {
 end:
   do
-  :: atomic { Count(added_up) >= LIMIT && row != added_up -> row = added_up }
+  :: atomic { Count(holder_known) >= CRASHES_TO_BLOCK && stored != holder_known -> stored = holder_known }
   od
 }
 
-proctype Time()
+proctype Environment()
 {
 end:
   do
-  :: atomic { !told && ended >= LIMIT && AllTold() -> told = true }
+  :: atomic { !all_informed && crashes >= CRASHES_TO_BLOCK && AllInformed() -> all_informed = true }
   :: atomic {
        if
-       :: row != 0 && killed_later < 1 -> killed_later++
-       :: !lost_something -> lost_something = true
+       :: stored != 0 && killed_after_store < 1 -> killed_after_store++
+       :: !any_killed -> any_killed = true
        fi;
-       Forget(0);
-       Forget(1);
-       added_up = known[0]
+       Restart(0);
+       Restart(1);
+       holder_known = known[0]
      }
   od
 }
@@ -124,6 +124,6 @@
     run Daemon(0);
     run Daemon(1);
     run Store();
-    run Time()
+    run Environment()
   }
 }
--- a/Models/KeyTrust.pml
+++ b/Models/KeyTrust.pml
@@ -23,27 +23,27 @@
 byte revoked_at = 0;
 
 /* The holder. */
-bool asking = false;
-bool answered = false;   /* the store has replied; the response is in transit */
-byte asked_at = 0;
-bool answer_revoked = false;
-bool holder_knows = false; /* that the key is revoked */
+bool reading = false;
+bool responded = false; /* the store has replied; the response is in transit */
+byte read_at = 0;
+bool response_revoked = false;
+bool holder_knows_revoked = false; /* that the key is revoked */
 byte holder_proof = NEVER;
-byte heard_report = NEVER;
-byte heard_at = 0;
+byte received_report = NEVER;
+byte received_at = 0;
 
 /* An update in transit to the daemon. */
-bool word = false;
-bool word_revoked;
-byte word_age;
-byte word_report;
-byte word_held;
+bool update = false;
+bool update_revoked;
+byte update_age;
+byte update_report;
+byte update_held;
 
 /* The daemon. */
 byte reports = 0;
 byte sent_at[REPORTS];
-byte report_under_way = NEVER;
-bool daemon_knows = false;
+byte report_in_transit = NEVER;
+bool daemon_knows_revoked = false;
 byte daemon_proof = NEVER;
 
 #define Max(a, b) ((a) > (b) -> (a) : (b))
@@ -64,39 +64,39 @@
 proctype Holder()
 {
   do
-  :: atomic { !asking -> asking = true; answered = false; asked_at = now }
-  :: atomic { asking && !answered -> answered = true; answer_revoked = revoked }
-  :: atomic { asking && answered ->
-       asking = false;
-       holder_knows = holder_knows || answer_revoked;
+  :: atomic { !reading -> reading = true; responded = false; read_at = now }
+  :: atomic { reading && !responded -> responded = true; response_revoked = revoked }
+  :: atomic { reading && responded ->
+       reading = false;
+       holder_knows_revoked = holder_knows_revoked || response_revoked;
 #ifdef PROOF_FROM_ANSWER
        holder_proof = now
 #else
-       holder_proof = asked_at
+       holder_proof = read_at
 #endif
      }
-  :: atomic { report_under_way != NEVER ->
-       heard_report = report_under_way; report_under_way = NEVER; heard_at = now }
-  :: atomic { !word && holder_proof != NEVER && heard_report != NEVER ->
-       word = true;
-       word_revoked = holder_knows;
-       word_age = now - holder_proof;
-       word_report = heard_report;
-       word_held = now - heard_at }
+  :: atomic { report_in_transit != NEVER ->
+       received_report = report_in_transit; report_in_transit = NEVER; received_at = now }
+  :: atomic { !update && holder_proof != NEVER && received_report != NEVER ->
+       update = true;
+       update_revoked = holder_knows_revoked;
+       update_age = now - holder_proof;
+       update_report = received_report;
+       update_held = now - received_at }
   :: now == END_OF_TIME -> break
   od
 }
 
-inline TakeWord()
+inline ApplyUpdate()
 {
-  word = false;
-  daemon_knows = daemon_knows || word_revoked;
+  update = false;
+  daemon_knows_revoked = daemon_knows_revoked || update_revoked;
 #ifdef AGE_FROM_ARRIVAL
-  proof = now - word_age;
+  proof = now - update_age;
 #else
   /* The update was written no earlier than this; its age may reach back to before the start. */
-  proof = sent_at[word_report] + word_held;
-  proof = (proof > word_age -> proof - word_age : 0);
+  proof = sent_at[update_report] + update_held;
+  proof = (proof > update_age -> proof - update_age : 0);
 #endif
   daemon_proof = (daemon_proof == NEVER -> proof : Max(daemon_proof, proof))
 }
@@ -104,23 +104,23 @@
 proctype Daemon()
 {
   byte proof;
-  byte starts = 0;
+  byte restarts = 0;
   do
-  :: atomic { reports < REPORTS && report_under_way == NEVER ->
-       sent_at[reports] = now; report_under_way = reports; reports++ }
-  :: atomic { word -> TakeWord() }
-  :: atomic { word -> word = false /* lost */ }
-  :: atomic { starts < 1 ->
-       starts++;
-       daemon_knows = false;
-       word = false;
+  :: atomic { reports < REPORTS && report_in_transit == NEVER ->
+       sent_at[reports] = now; report_in_transit = reports; reports++ }
+  :: atomic { update -> ApplyUpdate() }
+  :: atomic { update -> update = false /* lost */ }
+  :: atomic { restarts < 1 ->
+       restarts++;
+       daemon_knows_revoked = false;
+       update = false;
 #ifdef START_TRUSTS
        daemon_proof = now
 #else
        daemon_proof = NEVER
 #endif
      }
-  :: atomic { !daemon_knows && daemon_proof != NEVER && now - daemon_proof <= LIMIT ->
+  :: atomic { !daemon_knows_revoked && daemon_proof != NEVER && now - daemon_proof <= LIMIT ->
        /* A request arrives now and runs with the key. */
        assert(!revoked || now - revoked_at <= LIMIT) }
   :: now == END_OF_TIME -> break
--- a/Models/Once.pml
+++ b/Models/Once.pml
@@ -13,69 +13,69 @@
 
 mtype = { none, started, done, not_run, unknown };
 mtype record = none;
-byte version = 0;   /* of the record: each write increments it */
+byte version = 0;    /* of the record: each write increments it */
 byte written_by = 9; /* the receipt: request that wrote this version */
 byte runs = 0;
 byte runs_of[3];
 bool told_not_run[3];
 
-proctype Request(byte me)
+proctype Request(byte id)
 {
-  byte seen;
+  byte seen_version;
   mtype read;
-  bool committed = false, answered;
+  bool committed = false, response_received;
 
-  seen = 0;
-begin:
+  seen_version = 0;
+write_record:
   atomic {
     committed = false;
 #ifdef NO_RECORD
     committed = true;
 #endif
     if
-    :: version == seen -> record = started; version++; written_by = me; committed = true
+    :: version == seen_version -> record = started; version++; written_by = id; committed = true
     :: else -> skip
     fi
   }
-  if :: answered = true :: answered = false fi;
+  if :: response_received = true :: response_received = false fi;
   if
-  :: answered -> skip
+  :: response_received -> skip
   :: else ->
      /* The response was lost: the receipt shows whether the write was committed. */
 #ifdef GUESS_COMMITTED
      committed = true
 #else
-     atomic { committed = (written_by == me && record == started) }
+     atomic { committed = (written_by == id && record == started) }
 #endif
   fi;
   if
   :: committed -> goto send
   :: else -> skip
   fi;
-  atomic { read = record; seen = version };
+  atomic { read = record; seen_version = version };
   if
-  :: read == not_run -> goto begin
-  :: else -> goto over  /* gets the stored response, or an error that it may have run */
+  :: read == not_run -> goto write_record
+  :: else -> goto finished  /* gets the stored response, or an error that it may have run */
   fi;
 send:
   if
   :: atomic { version++; written_by = 9; record = not_run };  /* could not be sent */
-     told_not_run[me] = true
-  :: atomic { runs++; runs_of[me]++ };
+     told_not_run[id] = true
+  :: atomic { runs++; runs_of[id]++ };
      if
      :: atomic { record = done; version++; written_by = 9 }
      :: skip;  /* broke off after it ran */
 #ifdef RETRY_BROKEN
-        atomic { runs++; runs_of[me]++ };
+        atomic { runs++; runs_of[id]++ };
 #endif
         atomic { record = unknown; version++; written_by = 9 }
      :: skip  /* the daemon terminated: the record stays "started" */
      fi
   :: skip  /* the daemon terminated before it sent the call */
   fi;
-over:
+finished:
   assert(runs <= 1);
-  assert(!told_not_run[me] || runs_of[me] == 0)
+  assert(!told_not_run[id] || runs_of[id] == 0)
 }
 
 init
--- a/Models/OrderLease.pml
+++ b/Models/OrderLease.pml
@@ -17,8 +17,8 @@
 #define DURATION 1
 #define PAUSE 2
 #define LAST_TICK 4
-#define MOST_WRITES 4
-#define NOBODY 2
+#define MAX_WRITES 4
+#define NO_DAEMON 2
 #define RELEASED 3
 
 byte now = 0;
@@ -26,18 +26,18 @@
 
 /* When the lease is lost, the connections of orders that have not left are reset. */
 #ifdef NO_CHECK_WHEN_LEAVING
-#define LOSE_ORDERS skip
+#define DROP_ORDERS skip
 #else
-#define LOSE_ORDERS pending = false
+#define DROP_ORDERS pending = false
 #endif
 
 /* The row in the store. */
 byte row_version = 0;
-byte row_holder = NOBODY;
+byte row_holder = NO_DAEMON;
 bool row_ordering = false; /* its holder has completed the pause */
 
 /* Last order that the server received. */
-byte last_daemon = NOBODY;
+byte last_sender = NO_DAEMON;
 byte last_order_at = 0;
 byte last_fence = 0;
 
@@ -49,10 +49,10 @@
   od
 }
 
-proctype Daemon(byte me)
+proctype Daemon(byte self)
 {
   byte seen_version = 0;
-  byte seen_holder = NOBODY;
+  byte seen_holder = NO_DAEMON;
   bool seen_ordering = false;
   byte seen_at = 0;
   byte sent_at;
@@ -61,10 +61,10 @@
   byte orders_from = 0;
   byte fence = 0;
   bool pending = false; /* an order was decided on and has not left */
-  bool answered;
+  bool response_received;
   bool written;
-  bool follows_another;
-  bool begun;
+  bool after_other_holder;
+  bool ordering;
 
   do
   :: now == LAST_TICK -> break
@@ -79,20 +79,20 @@
      }
 
   /* Acquires or renews the lease. */
-  :: writes < MOST_WRITES && ((fence != 0 && now < valid_until) ||
+  :: writes < MAX_WRITES && ((fence != 0 && now < valid_until) ||
 #ifdef NO_WAIT
      true
 #else
-     seen_holder >= NOBODY || seen_holder == me || now > seen_at + DURATION
+     seen_holder >= NO_DAEMON || seen_holder == self || now > seen_at + DURATION
 #endif
      ) ->
      atomic {
 #ifdef NO_ORDERING_MARK
-       follows_another = (seen_holder != NOBODY && seen_holder != me);
+       after_other_holder = (seen_holder != NO_DAEMON && seen_holder != self);
 #else
-       follows_another = (seen_holder != NOBODY && !(seen_holder == me && seen_ordering));
+       after_other_holder = (seen_holder != NO_DAEMON && !(seen_holder == self && seen_ordering));
 #endif
-       begun = (fence != 0 && now >= orders_from);
+       ordering = (fence != 0 && now >= orders_from);
        expected = seen_version;
        sent_at = now
      };
@@ -104,21 +104,21 @@
        written = (row_version == expected);
 #endif
        if
-       :: written -> row_version++; row_holder = me; row_ordering = begun
+       :: written -> row_version++; row_holder = self; row_ordering = ordering
        :: else -> skip
        fi;
        /* The response is delayed or lost. */
        if
-       :: answered = true
-       :: answered = false
+       :: response_received = true
+       :: response_received = false
        fi
      };
      atomic {
         if
-        :: written && answered ->
+        :: written && response_received ->
           seen_version = expected + 1;
-          seen_holder = me;
-          seen_ordering = begun;
+          seen_holder = self;
+          seen_ordering = ordering;
           seen_at = now;
 #ifdef COUNT_FROM_ANSWER
           valid_until = now + DURATION;
@@ -131,7 +131,7 @@
 #ifdef NO_PAUSE
              orders_from = now
 #else
-             orders_from = (follows_another -> now + PAUSE : now)
+             orders_from = (after_other_holder -> now + PAUSE : now)
 #endif
           :: else -> skip
           fi
@@ -140,16 +140,16 @@
         expected = 0;
         sent_at = 0;
         written = false;
-        answered = false;
-        follows_another = false;
-        begun = false
+        response_received = false;
+        after_other_holder = false;
+        ordering = false
      }
 
   /* Releases the lease. */
-  :: writes < MOST_WRITES && fence != 0 && seen_holder == me ->
+  :: writes < MAX_WRITES && fence != 0 && seen_holder == self ->
      atomic {
        fence = 0;
-       LOSE_ORDERS;
+       DROP_ORDERS;
        writes++;
        if
        :: row_version == seen_version -> row_version++; row_holder = RELEASED; row_ordering = false
@@ -158,7 +158,7 @@
      }
 
   /* The lease has expired, or another daemon holds the row. */
-  :: atomic { fence != 0 && (now >= valid_until || seen_holder != me) -> fence = 0; LOSE_ORDERS }
+  :: atomic { fence != 0 && (now >= valid_until || seen_holder != self) -> fence = 0; DROP_ORDERS }
 
   /* Decides on an order. */
   :: atomic { !pending && fence != 0 && now < valid_until && now >= orders_from -> pending = true }
@@ -170,9 +170,9 @@
 #else
        pending && now < valid_until ->
 #endif
-       assert(last_daemon == NOBODY || last_daemon == me || now >= last_order_at + PAUSE);
+       assert(last_sender == NO_DAEMON || last_sender == self || now >= last_order_at + PAUSE);
        assert(fence == 0 || fence >= last_fence);
-       last_daemon = me;
+       last_sender = self;
        last_order_at = now;
        last_fence = (fence > last_fence -> fence : last_fence);
        pending = false
--- a/Models/ServerDrain.pml
+++ b/Models/ServerDrain.pml
@@ -18,26 +18,26 @@
 #define GRACE 1
 #define BOUND 2
 #define TICKS 6
-#define TENURES 3
+#define MAX_TENURE 3
 #define NONE 255
 
 byte now = 0;
-bool announces = false;       /* the server, in all its responses */
-byte passed_at[DAEMONS];      /* when the daemon first passed an announcement on; NONE: not yet */
-byte known_at[DAEMONS];       /* the same time, as the daemon remembers it */
-byte sent_at[DAEMONS];        /* its request that has not arrived yet; NONE: none */
+bool draining = false;   /* the server, in all its responses */
+byte passed_at[DAEMONS]; /* when the daemon first passed an announcement on; NONE: not yet */
+byte known_at[DAEMONS];  /* the same time, as the daemon remembers it */
+byte sent_at[DAEMONS];   /* its request that has not arrived yet; NONE: none */
 
 byte tenure = 1;
 byte holder = 0;
-byte heard[DAEMONS];          /* latest tenure known to the daemon */
-byte told_in[DAEMONS];        /* latest tenure whose holder told the daemon that the server is draining */
-bool knows[DAEMONS];          /* from a response, a report or an update */
+byte known_tenure[DAEMONS]; /* latest tenure known to the daemon */
+byte announced_in[DAEMONS]; /* latest tenure whose holder told the daemon that the server is draining */
+bool knows[DAEMONS];        /* from a response, a report or an update */
 /* Messages stay in the network, which covers duplicated, delayed and reordered ones. */
-bool report_to[TENURES + 1];  /* report to the holder of a tenure: the server is draining */
-bool news_of[TENURES + 1];    /* update of the holder of a tenure: the server is draining */
-bool empty_news_of[TENURES + 1]; /* update without the server */
+bool report_to[MAX_TENURE + 1];       /* report to the holder of a tenure: the server is draining */
+bool update_of[MAX_TENURE + 1];       /* update of the holder of a tenure: the server is draining */
+bool empty_update_of[MAX_TENURE + 1]; /* update without the server */
 
-inline Learn(d)
+inline NoteAnnounced(d)
 {
   if
   :: passed_at[d] == NONE -> passed_at[d] = now
@@ -48,14 +48,14 @@
   :: else
   fi;
   if
-  :: !knows[d] -> knows[d] = true; told_in[d] = 0
+  :: !knows[d] -> knows[d] = true; announced_in[d] = 0
   :: else
   fi
 }
 
 proctype Daemon(byte d)
 {
-  byte by;
+  byte from_tenure;
 end:
   do
   :: atomic { /* sends a request */
@@ -70,7 +70,7 @@
        assert(passed_at[d] == NONE || now <= passed_at[d] + BOUND);
        sent_at[d] = NONE;
        if
-       :: announces -> Learn(d)
+       :: draining -> NoteAnnounced(d)
        :: else
        fi
      }
@@ -89,53 +89,53 @@
        skip
      }
   :: atomic { /* reports to the last holder known to it */
-       knows[d] && told_in[d] < heard[d] -> report_to[heard[d]] = true
+       knows[d] && announced_in[d] < known_tenure[d] -> report_to[known_tenure[d]] = true
      }
   :: atomic { /* as the holder, receives a report */
-       d == holder && report_to[tenure] && !knows[d] -> knows[d] = true; told_in[d] = tenure
+       d == holder && report_to[tenure] && !knows[d] -> knows[d] = true; announced_in[d] = tenure
      }
   :: atomic { /* as the holder, sends an update to all */
        d == holder ->
-       heard[d] = tenure;
+       known_tenure[d] = tenure;
        if
-       :: knows[d] -> news_of[tenure] = true; told_in[d] = tenure
-       :: else -> empty_news_of[tenure] = true
+       :: knows[d] -> update_of[tenure] = true; announced_in[d] = tenure
+       :: else -> empty_update_of[tenure] = true
        fi
      }
   :: atomic { /* receives an update with the server, of any holder */
        d != holder ->
        if
-       :: news_of[1] -> by = 1
-       :: news_of[2] -> by = 2
-       :: news_of[3] -> by = 3
+       :: update_of[1] -> from_tenure = 1
+       :: update_of[2] -> from_tenure = 2
+       :: update_of[3] -> from_tenure = 3
        fi;
        knows[d] = true;
        if
-       :: by > heard[d] -> heard[d] = by
+       :: from_tenure > known_tenure[d] -> known_tenure[d] = from_tenure
        :: else
        fi;
 #ifdef CONFIRM_ANY
-       told_in[d] = heard[d];
+       announced_in[d] = known_tenure[d];
 #else
        if
-       :: by > told_in[d] -> told_in[d] = by
+       :: from_tenure > announced_in[d] -> announced_in[d] = from_tenure
        :: else
        fi;
 #endif
-       by = 0
+       from_tenure = 0
      }
   :: atomic { /* receives an update without the server */
        d != holder ->
        if
-       :: empty_news_of[1] && heard[d] < 1 -> heard[d] = 1
-       :: empty_news_of[2] && heard[d] < 2 -> heard[d] = 2
-       :: empty_news_of[3] && heard[d] < 3 -> heard[d] = 3
+       :: empty_update_of[1] && known_tenure[d] < 1 -> known_tenure[d] = 1
+       :: empty_update_of[2] && known_tenure[d] < 2 -> known_tenure[d] = 2
+       :: empty_update_of[3] && known_tenure[d] < 3 -> known_tenure[d] = 3
        fi
      }
   od
 }
 
-proctype World()
+proctype Environment()
 {
 end:
   do
@@ -143,16 +143,16 @@
        now < TICKS && (sent_at[0] == NONE || sent_at[0] == now) &&
        (sent_at[1] == NONE || sent_at[1] == now) -> now++
      }
-  :: announces = true
+  :: draining = true
   :: atomic { /* the holder changes */
-       tenure < TENURES ->
+       tenure < MAX_TENURE ->
        tenure++;
        holder = 1 - holder
      }
   :: atomic { /* if a daemon has stopped reporting to the current holder, the holder knows */
        d_step {
-         assert(!(knows[0] && holder == 1 && heard[0] == tenure && told_in[0] == tenure) || knows[1]);
-         assert(!(knows[1] && holder == 0 && heard[1] == tenure && told_in[1] == tenure) || knows[0])
+         assert(!(knows[0] && holder == 1 && known_tenure[0] == tenure && announced_in[0] == tenure) || knows[1]);
+         assert(!(knows[1] && holder == 0 && known_tenure[1] == tenure && announced_in[1] == tenure) || knows[0])
        }
      }
   od
@@ -169,6 +169,6 @@
     }
     run Daemon(0);
     run Daemon(1);
-    run World()
+    run Environment()
   }
 }
--- a/Models/ServerLife.pml
+++ b/Models/ServerLife.pml
@@ -12,45 +12,46 @@
  * holder's sequence to the server's.
  * guards: NO_START NO_ROOM ONLY_THE_LIFE_BEFORE */
 
-#define PLACES 2
-#define ORDERS 7  /* in total */
+#define CAPACITY 2
+#define MAX_ORDERS 7 /* in total */
 #define RESTARTS 2
-#define UNDER_WAY 3
+#define MAX_PENDING 3
 
-byte held = 0;     /* number of loaded models; which ones does not matter */
+byte loaded = 0;   /* number of loaded models; which ones does not matter */
 byte sequence = 0; /* orders that the current instance has accepted */
-byte life = 0;
+byte instance = 0;
 
 /* Orders that the server may still carry out. */
-bool waits[UNDER_WAY];
-bool is_load[UNDER_WAY];
-byte expects[UNDER_WAY];
+bool in_transit[MAX_PENDING];
+bool is_load[MAX_PENDING];
+byte expected_sequence[MAX_PENDING];
 
 /* State of the server as known to the holder. */
-byte known_life = 0;
-byte known_held = 0;
+byte known_instance = 0;
+byte known_loaded = 0;
 byte known_sequence = 0;
-bool open = false; /* its last order has no result yet */
+bool awaiting_result = false; /* its last order has no result yet */
 /* Loads without a result, and the instance that each was sent to. They count until they can no longer
  * arrive. The program counts them for as long as servers are known to carry out orders late. */
-bool unanswered[UNDER_WAY];
-byte sent_in[UNDER_WAY];
+bool unresolved_load[MAX_PENDING];
+byte sent_to_instance[MAX_PENDING];
 
-byte given = 0;
-byte place;
+byte orders_sent = 0;
+byte index;
 
-#define Free() \
-  ((!waits[0] && !unanswered[0]) || (!waits[1] && !unanswered[1]) || (!waits[2] && !unanswered[2]))
+#define CanSend() \
+  ((!in_transit[0] && !unresolved_load[0]) || (!in_transit[1] && !unresolved_load[1]) || \
+   (!in_transit[2] && !unresolved_load[2]))
 
-inline Carry(n)
+inline Execute(number)
 {
-  waits[n] = false;
+  in_transit[number] = false;
   if
-  :: expects[n] == sequence && is_load[n] ->
-     assert(held < PLACES);
-     held++; sequence++
-  :: expects[n] == sequence && !is_load[n] && held > 0 ->
-     held--; sequence++
+  :: expected_sequence[number] == sequence && is_load[number] ->
+     assert(loaded < CAPACITY);
+     loaded++; sequence++
+  :: expected_sequence[number] == sequence && !is_load[number] && loaded > 0 ->
+     loaded--; sequence++
   :: else -> skip /* rejected */
   fi
 }
@@ -59,54 +60,54 @@
 {
   byte restarts = 0;
   do
-  :: atomic { restarts < RESTARTS -> restarts++; life++; held = 0; sequence = 0 }
-  :: atomic { waits[0] -> Carry(0) }
-  :: atomic { waits[1] -> Carry(1) }
-  :: atomic { waits[2] -> Carry(2) }
+  :: atomic { restarts < RESTARTS -> restarts++; instance++; loaded = 0; sequence = 0 }
+  :: atomic { in_transit[0] -> Execute(0) }
+  :: atomic { in_transit[1] -> Execute(1) }
+  :: atomic { in_transit[2] -> Execute(2) }
   od
 }
 
 inline Send(load)
 {
   if
-  :: !waits[0] && !unanswered[0] -> place = 0
-  :: !waits[1] && !unanswered[1] -> place = 1
-  :: !waits[2] && !unanswered[2] -> place = 2
+  :: !in_transit[0] && !unresolved_load[0] -> index = 0
+  :: !in_transit[1] && !unresolved_load[1] -> index = 1
+  :: !in_transit[2] && !unresolved_load[2] -> index = 2
   fi;
-  waits[place] = true;
-  is_load[place] = load;
-  expects[place] = known_sequence;
-  unanswered[place] = load;
-  sent_in[place] = known_life;
-  open = true;
-  given++
+  in_transit[index] = true;
+  is_load[index] = load;
+  expected_sequence[index] = known_sequence;
+  unresolved_load[index] = load;
+  sent_to_instance[index] = known_instance;
+  awaiting_result = true;
+  orders_sent++
 }
 
 /* A report states instance, sequence and models at one moment. */
-inline Look()
+inline ReadReport()
 {
 #ifdef NO_START
-  known_life = life;
+  known_instance = instance;
 #endif
   if
-  :: known_life != life ->
+  :: known_instance != instance ->
      /* The known state is void, except for the loads that may still arrive. */
-     open = false;
-     known_life = life;
+     awaiting_result = false;
+     known_instance = instance;
      known_sequence = sequence
-  :: known_life == life && sequence > known_sequence -> known_sequence = sequence; open = false
+  :: known_instance == instance && sequence > known_sequence -> known_sequence = sequence; awaiting_result = false
   :: else -> skip
   fi;
-  known_held = held;
+  known_loaded = loaded;
   assert(known_sequence == sequence);
-  place = 0;
+  index = 0;
   do
-  :: place < UNDER_WAY ->
+  :: index < MAX_PENDING ->
      if
-     :: !waits[place] -> unanswered[place] = false
+     :: !in_transit[index] -> unresolved_load[index] = false
      :: else -> skip
      fi;
-     place++
+     index++
   :: else -> break
   od
 }
@@ -115,31 +116,31 @@
 {
   byte reserved;
   do
-  :: atomic { Look() }
+  :: atomic { ReadReport() }
   :: atomic {
-       !open && given < ORDERS && Free() ->
+       !awaiting_result && orders_sent < MAX_ORDERS && CanSend() ->
        reserved = 0;
 #ifndef NO_ROOM
-       place = 0;
+       index = 0;
        do
-       :: place < UNDER_WAY ->
+       :: index < MAX_PENDING ->
           if
-          :: unanswered[place] && expects[place] >= known_sequence &&
+          :: unresolved_load[index] && expected_sequence[index] >= known_sequence &&
 #ifdef ONLY_THE_LIFE_BEFORE
-             sent_in[place] + 1 == known_life
+             sent_to_instance[index] + 1 == known_instance
 #else
-             sent_in[place] != known_life
+             sent_to_instance[index] != known_instance
 #endif
              -> reserved++
           :: else -> skip
           fi;
-          place++
+          index++
        :: else -> break
        od;
 #endif
        if
-       :: known_held + reserved < PLACES -> Send(true)
-       :: known_held > 0 -> Send(false)
+       :: known_loaded + reserved < CAPACITY -> Send(true)
+       :: known_loaded > 0 -> Send(false)
        :: else -> skip
        fi
      }
--- a/Models/ServerLimit.pml
+++ b/Models/ServerLimit.pml
@@ -19,31 +19,31 @@
 #define WINDOW 4
 #ifdef NO_END
 #define TICKS 8
-#define PERMITS 4   /* that one daemon may have at once */
+#define PERMITS 4 /* that one daemon may have at once */
 #else
 #define TICKS 6
 #define PERMITS 2
 #endif
-#define LEASE 3     /* ticks from the loss of a holder until the next one grants permits */
+#define HOLDER_CHANGE_TICKS 3 /* ticks from the loss of a holder until the next one grants permits */
 
-#define ALLOWED (RATE * WINDOW + RATE * WINDOW / 2)
+#define MAX_IN_WINDOW (RATE * WINDOW + RATE * WINDOW / 2)
 
 byte now = 0;
-byte sent[WINDOW];            /* requests in each tick of the window */
+byte requests[WINDOW]; /* requests in each tick of the window */
 byte next_holder_in = 0;
 byte bucket = 0;
-byte standby = 0;             /* named by the last reachable holder */
+byte standby = 0; /* named by the last reachable holder */
 bool suspended[DAEMONS];
-byte permits[DAEMONS];        /* received, or waiting in its socket */
-byte asked_in[DAEMONS];       /* tick in which they were requested */
-bool unheard = false;         /* no holder is reachable */
-byte sent_alone[DAEMONS];     /* as a standby, in this tick or the one before */
-byte losses = 0;
+byte permits[DAEMONS];           /* received, or waiting in its socket */
+byte requested_in[DAEMONS];      /* tick in which they were requested */
+bool holder_unreachable = false; /* no holder is reachable */
+byte sent_as_standby[DAEMONS];   /* as a standby, in this tick or the one before */
+byte faults = 0;
 
-inline Count()
+inline CountRequest()
 {
-  sent[now % WINDOW]++;
-  assert(sent[0] + sent[1] + sent[2] + sent[3] <= ALLOWED)
+  requests[now % WINDOW]++;
+  assert(requests[0] + requests[1] + requests[2] + requests[3] <= MAX_IN_WINDOW)
 }
 
 proctype Daemon(byte d)
@@ -55,11 +55,11 @@
 #ifdef NO_END
        true ->
 #else
-       (permits[d] == 0 || asked_in[d] == now) ->
+       (permits[d] == 0 || requested_in[d] == now) ->
 #endif
        bucket--;
        if
-       :: permits[d]++; asked_in[d] = now
+       :: permits[d]++; requested_in[d] = now
        :: skip
        fi
      }
@@ -68,34 +68,34 @@
        permits[d]--;
        if
 #ifdef NO_END
-       :: true -> Count()
+       :: true -> CountRequest()
 #else
-       :: now <= asked_in[d] + 1 -> Count()
+       :: now <= requested_in[d] + 1 -> CountRequest()
        :: else
 #endif
        fi;
        if
-       :: permits[d] == 0 -> asked_in[d] = 0
+       :: permits[d] == 0 -> requested_in[d] = 0
        :: else
        fi
      }
   :: atomic { /* sends without a holder */
 #ifdef EACH_ITS_OWN
-       !suspended[d] && unheard && sent_alone[d] < RATE ->
+       !suspended[d] && holder_unreachable && sent_as_standby[d] < RATE ->
 #else
-       !suspended[d] && unheard && sent_alone[d] == 0 && standby == d ->
+       !suspended[d] && holder_unreachable && sent_as_standby[d] == 0 && standby == d ->
 #endif
-       sent_alone[d]++;
-       Count()
+       sent_as_standby[d]++;
+       CountRequest()
      }
   :: atomic { /* is suspended, and resumes below */
-       losses < 2 -> losses++; suspended[d] = true
+       faults < 2 -> faults++; suspended[d] = true
      }
   :: suspended[d] -> suspended[d] = false
   :: atomic { /* restarts and loses its permits */
-       losses < 2 -> losses++;
+       faults < 2 -> faults++;
        permits[d] = 0;
-       asked_in[d] = 0;
+       requested_in[d] = 0;
        suspended[d] = false
      }
   od
@@ -109,7 +109,7 @@
   :: atomic {
        now < TICKS ->
        now++;
-       sent[now % WINDOW] = 0;
+       requests[now % WINDOW] = 0;
        if
        :: next_holder_in > 0 ->
           next_holder_in--;
@@ -128,7 +128,7 @@
           :: else -> bucket = RATE + 1
           fi
        fi;
-       unheard = (next_holder_in > 0);
+       holder_unreachable = (next_holder_in > 0);
        if
 #ifdef EACH_ITS_OWN
        :: true ->
@@ -136,7 +136,7 @@
        :: now % 2 == 0 ->
 #endif
           for (d : 0 .. DAEMONS - 1) {
-            sent_alone[d] = 0
+            sent_as_standby[d] = 0
           }
 #ifndef EACH_ITS_OWN
        :: else
@@ -145,8 +145,8 @@
        d = 0
      }
   :: atomic { /* the holder is cut off from all others, and stops when its lease is over */
-       losses < 2 && next_holder_in == 0 -> losses++;
-       next_holder_in = LEASE
+       faults < 2 && next_holder_in == 0 -> faults++;
+       next_holder_in = HOLDER_CHANGE_TICKS
      }
   :: atomic { /* another daemon becomes the standby; the previous one may not have been informed */
        next_holder_in == 0 -> standby = (standby + 1) % DAEMONS
--- a/Models/Table.pml
+++ b/Models/Table.pml
@@ -10,30 +10,30 @@
  * Verified: no accepted edit overwrites another, and no daemon returns to a lower revision.
  * guards: NO_COMPARE ADOPT_ANY */
 
-byte head = 0;          /* the platform's revision */
-byte author[6];         /* operator whose edit created the revision; 0: none yet */
+byte head = 0;  /* the platform's revision */
+byte author[6]; /* operator whose edit created the revision; 0: none yet */
 byte accepted = 0;
 bool outage = false;
-byte revision[2];       /* in force on each daemon */
-bool ready[2];          /* a daemon without a table serves nothing */
+byte revision[2]; /* in force on each daemon */
+bool ready[2];    /* a daemon without a table serves nothing */
 
-proctype Operator(byte me)
+proctype Operator(byte id)
 {
-  byte seen, edits = 0;
+  byte seen_revision, edits = 0;
   do
   :: edits < 2 ->
      edits++;
-     atomic { !outage -> seen = head };
+     atomic { !outage -> seen_revision = head };
      atomic {
        !outage ->
        if
 #ifdef NO_COMPARE
        :: true ->
 #else
-       :: head == seen ->
+       :: head == seen_revision ->
 #endif
-          assert(author[seen + 1] == 0);
-          author[seen + 1] = me; head = seen + 1; accepted++
+          assert(author[seen_revision + 1] == 0);
+          author[seen_revision + 1] = id; head = seen_revision + 1; accepted++
        :: else -> skip  /* rejected with a typed conflict */
        fi
      }
@@ -41,28 +41,28 @@
   od
 }
 
-proctype Daemon(byte me)
+proctype Daemon(byte id)
 {
-  byte offered, before, restarts = 0;
+  byte received_revision, previous_revision, restarts = 0;
 end:
   do
-  :: atomic { !outage && head > revision[me] -> offered = head }; goto adopt
-  :: atomic { !outage && !ready[me] -> offered = head }; goto adopt
-  :: atomic { ready[1 - me] -> offered = revision[1 - me] }; goto adopt
-  :: atomic { restarts < 1 -> restarts++; revision[me] = 0; ready[me] = false }
+  :: atomic { !outage && head > revision[id] -> received_revision = head }; goto adopt
+  :: atomic { !outage && !ready[id] -> received_revision = head }; goto adopt
+  :: atomic { ready[1 - id] -> received_revision = revision[1 - id] }; goto adopt
+  :: atomic { restarts < 1 -> restarts++; revision[id] = 0; ready[id] = false }
   od;
 adopt:
   atomic {
-    before = revision[me];
+    previous_revision = revision[id];
 #ifdef ADOPT_ANY
-    revision[me] = offered;
+    revision[id] = received_revision;
 #else
-    if :: offered > revision[me] -> revision[me] = offered :: else -> skip fi;
+    if :: received_revision > revision[id] -> revision[id] = received_revision :: else -> skip fi;
 #endif
-    assert(!ready[me] || revision[me] >= before);
-    assert(revision[me] <= head);
-    ready[me] = true;
-    offered = 0; before = 0
+    assert(!ready[id] || revision[id] >= previous_revision);
+    assert(revision[id] <= head);
+    ready[id] = true;
+    received_revision = 0; previous_revision = 0
   };
   goto end
 }
