--- a/Scenarios/Library/world.lua
+++ b/Scenarios/Library/world.lua
@@ -19,17 +19,17 @@
 
 -- Waits until `condition` returns a true value, and returns that value.
 function wait_until(limit_ms, what, condition)
-  local began = now()
+  local started_at = now()
   while true do
     local value = condition()
     if value then return value end
-    if now() - began > limit_ms then error("not within " .. limit_ms .. " ms: " .. what, 2) end
+    if now() - started_at > limit_ms then error("not within " .. limit_ms .. " ms: " .. what, 2) end
     sleep(20)
   end
 end
 
-local function append(list, more)
-  for _, item in ipairs(more) do list[#list + 1] = item end
+local function append(list, items)
+  for _, item in ipairs(items) do list[#list + 1] = item end
   return list
 end
 
@@ -41,87 +41,87 @@
   end)
 end
 
--- options: data_centres; daemons and engines (totals over all data centres); services;
--- ignore_fencing (for all engines); engine_flags, daemon_flags, store_flags;
+-- options: data_centres; daemons and servers (totals over all data centres); services;
+-- ignore_fencing (for all servers); server_flags, daemon_flags, weight_store_flags;
 -- models (name -> {memory_mb, replicas, ...}); adapters (name -> {parent, memory_mb, replicas});
 -- exchange_rate; relays (between the data centres)
 function World.new(options)
   local self = setmetatable({}, World)
   self.options = options or {}
   self.data_centres = self.options.data_centres or {"north"}
-  self.daemons, self.engines, self.services = {}, {}, {}
+  self.daemons, self.servers, self.services = {}, {}, {}
   self.sent, self.keys, self.replicas = {}, {}, {}
   self.platform = "http://" .. NET .. ".1:7000"
-  self.store = "http://" .. NET .. ".2:7000"
+  self.weight_store = "http://" .. NET .. ".2:7000"
   start("platform", {"standin-platform", "--address", NET .. ".1", "--port", "7000", "--vm-lag-ms", "50"})
   start("weight-store", append({"standin-weight-store", "--address", NET .. ".2", "--port", "7000",
-    "--load-ms", "150", "--starts-per-second", "30"}, self.options.store_flags or {}))
-  self:await_http(self.platform .. "/control")
-  self:await_http(self.store .. "/control")
-  for index = 1, self.options.engines or 3 do self:add_engine(index) end
+    "--load-ms", "150", "--starts-per-second", "30"}, self.options.weight_store_flags or {}))
+  self:await_url(self.platform .. "/control")
+  self:await_url(self.weight_store .. "/control")
+  for index = 1, self.options.servers or 3 do self:add_server(index) end
   for index = 1, self.options.services or 0 do self:add_service(index) end
-  for index = 1, self.options.daemons or 3 do self:describe_daemon(index) end
+  for index = 1, self.options.daemons or 3 do self:add_daemon(index) end
   if self.options.relays then self:open_relays() end
-  self:list_vms()
+  self:update_vm_list()
   for _, daemon in ipairs(self.daemons) do self:start_daemon(daemon) end
   for _, daemon in ipairs(self.daemons) do self:await_ready(daemon) end
-  self:apply(self:rows())
+  self:apply_table(self:table_rows())
   self:await_connected()
   return self
 end
 
-function World:centre(index)
+function World:data_centre_at(index)
   return self.data_centres[(index - 1) % #self.data_centres + 1]
 end
 
-function World:await_http(url)
+function World:await_url(url)
   wait_until(10000, "response from " .. url, function()
     return call{url = url, timeout_ms = 1000}.status ~= 0
   end)
 end
 
-function World:add_engine(index)
-  local engine = {vm = "runner-" .. index, centre = self:centre(index), starts = 0}
-  engine.address = NET .. "." .. (50 + index) .. ":7400"
-  engine.url = "http://" .. engine.address
-  engine.ignores = self.options.ignore_fencing
-  self.engines[index] = engine
-  self:start_engine(engine)
+function World:add_server(index)
+  local server = {vm = "runner-" .. index, data_centre = self:data_centre_at(index), starts = 0}
+  server.address = NET .. "." .. (50 + index) .. ":7400"
+  server.url = "http://" .. server.address
+  server.ignores_fencing = self.options.ignore_fencing
+  self.servers[index] = server
+  self:start_server(server)
 end
 
-function World:start_engine(engine)
-  engine.starts = engine.starts + 1
-  local command = {"standin-engine", "--vm", engine.vm, "--address", engine.address:match("^[^:]+"),
-    "--port", "7400", "--weight-store", self.store, "--token-ms", "2", "--report-lag-ms", "50"}
-  if engine.ignores then append(command, {"--ignore-fencing"}) end
-  append(command, self.options.engine_flags or {})
-  engine.pid = start(engine.vm, command)
-  self:await_http(engine.url .. "/control")
+function World:start_server(server)
+  server.starts = server.starts + 1
+  local command = {"standin-engine", "--vm", server.vm, "--address", server.address:match("^[^:]+"),
+    "--port", "7400", "--weight-store", self.weight_store, "--token-ms", "2", "--report-lag-ms", "50"}
+  if server.ignores_fencing then append(command, {"--ignore-fencing"}) end
+  append(command, self.options.server_flags or {})
+  server.pid = start(server.vm, command)
+  self:await_url(server.url .. "/control")
 end
 
 function World:add_service(index)
-  local service = {vm = "service-" .. index, centre = self:centre(index)}
+  local service = {vm = "service-" .. index, data_centre = self:data_centre_at(index)}
   service.address = NET .. "." .. (80 + index) .. ":7500"
   service.url = "http://" .. service.address
   service.pid = start(service.vm, {"standin-plain-service", "--address",
     service.address:match("^[^:]+"), "--port", "7500"})
-  self:await_http(service.url .. "/control")
+  self:await_url(service.url .. "/control")
   self.services[index] = service
 end
 
-function World:describe_daemon(index)
+function World:add_daemon(index)
   local ip = NET .. "." .. (10 + index)
-  self.daemons[index] = {index = index, vm = "entry-" .. index, centre = self:centre(index),
+  self.daemons[index] = {index = index, vm = "entry-" .. index, data_centre = self:data_centre_at(index),
     url = "http://" .. ip .. ":7100", operators = "http://" .. ip .. ":7200",
     operators_address = ip .. ":7200", peers = ip .. ":7300", ip = ip, starts = 0}
 end
 
-function World:start_daemon(daemon, more)
+function World:start_daemon(daemon, extra_flags)
   daemon.starts = daemon.starts + 1
-  local command = {"drumpondd", "--vm", daemon.vm, "--data-centre", daemon.centre,
+  local command = {"drumpondd", "--vm", daemon.vm, "--data-centre", daemon.data_centre,
     "--listen", daemon.ip .. ":7100", "--operators", daemon.ip .. ":7200",
     "--peers-listen", daemon.peers, "--platform", self.platform}
-  append(append(append(command, DAEMON_FLAGS), self.options.daemon_flags or {}), more or {})
+  append(append(append(command, DAEMON_FLAGS), self.options.daemon_flags or {}), extra_flags or {})
   daemon.pid = start(daemon.vm .. "-" .. daemon.starts, command)
 end
 
@@ -132,16 +132,16 @@
 end
 
 function World:dump(daemon)
-  local got = call{url = daemon.operators .. "/dump", timeout_ms = 2000}
-  return got.status == 200 and decode(got.body) or nil
+  local response = call{url = daemon.operators .. "/dump", timeout_ms = 2000}
+  return response.status == 200 and decode(response.body) or nil
 end
 
--- Waits until every daemon sees all daemons as alive and all engines as ready.
+-- Waits until every daemon sees all daemons as alive and all servers as ready.
 function World:await_connected()
   for _, daemon in ipairs(self.daemons) do
     wait_until(10000, daemon.vm .. " is connected", function()
       local dump = self:dump(daemon)
-      if not dump or #dump.servers < #self.engines then return false end
+      if not dump or #dump.servers < #self.servers then return false end
       local alive = 0
       for _, peer in ipairs(dump.daemons) do if peer.alive then alive = alive + 1 end end
       for _, server in ipairs(dump.servers) do if not server.ready then return false end end
@@ -156,7 +156,7 @@
   self.relays = {}
   for _, from in ipairs(self.daemons) do
     for _, to in ipairs(self.daemons) do
-      if from.centre ~= to.centre then
+      if from.data_centre ~= to.data_centre then
         relay_port = relay_port + 1
         local listen = NET .. ".100:" .. relay_port
         self.relays[#self.relays + 1] = {from = from, to = to, listen = listen,
@@ -175,19 +175,19 @@
     end
     if not daemon.unlisted then
       entries[#entries + 1] = {id = daemon.vm, role = "entry", state = daemon.state or "live",
-        data_centre = daemon.centre, address = address}
+        data_centre = daemon.data_centre, address = address}
     end
   end
-  for _, engine in ipairs(self.engines) do
-    if not engine.unlisted then
-      entries[#entries + 1] = {id = engine.vm, role = "backend", state = engine.state or "live",
-        data_centre = engine.centre}
+  for _, server in ipairs(self.servers) do
+    if not server.unlisted then
+      entries[#entries + 1] = {id = server.vm, role = "backend", state = server.state or "live",
+        data_centre = server.data_centre}
     end
   end
   return entries
 end
 
-function World:list_vms()
+function World:update_vm_list()
   local body = {vms = self:vm_entries()}
   if self.relays then
     body.vms_for = {}
@@ -209,23 +209,23 @@
 end
 
 function World:ledger()
-  return decode(call{url = self.store .. "/control"}.body)
+  return decode(call{url = self.weight_store .. "/control"}.body)
 end
 
 -- Starts or ends a network partition between a data centre and the others. It affects daemons and
 -- backend servers, and with `platform` also the calls to the platform by the daemons inside.
-function World:cut_off(centre, is_cut, platform)
+function World:cut_off(data_centre, is_cut, platform)
   for _, link in ipairs(self.relays) do
-    if (link.from.centre == centre) ~= (link.to.centre == centre) then cut(link.id, is_cut) end
+    if (link.from.data_centre == data_centre) ~= (link.to.data_centre == data_centre) then cut(link.id, is_cut) end
   end
   local inside, outside = {__array = true}, {__array = true}
   for _, daemon in ipairs(self.daemons) do
-    local side = daemon.centre == centre and inside or outside
+    local side = daemon.data_centre == data_centre and inside or outside
     side[#side + 1] = daemon.vm
   end
-  for _, engine in ipairs(self.engines) do
-    local barred = engine.centre == centre and outside or inside
-    self:control(engine, {cut = is_cut and barred or {__array = true}})
+  for _, server in ipairs(self.servers) do
+    local unreachable_vms = server.data_centre == data_centre and outside or inside
+    self:control(server, {cut = is_cut and unreachable_vms or {__array = true}})
   end
   if platform then self:platform_control{cut = is_cut and inside or {__array = true}} end
 end
@@ -237,21 +237,21 @@
 end
 
 -- Rows of the initial table.
-function World:rows()
+function World:table_rows()
   local rows = {__array = true}
   local function add(row) rows[#rows + 1] = row end
-  for _, centre in ipairs(self.data_centres) do add{kind = "data_centre", name = centre} end
+  for _, data_centre in ipairs(self.data_centres) do add{kind = "data_centre", name = data_centre} end
   add{kind = "pool", name = "models"}
   add{kind = "pool", name = "labels"}
   add{kind = "setting", name = "cold_start_exchange_rate", value = self.options.exchange_rate or "1000"}
   add{kind = "setting", name = "weight_store_starts_per_second", value = "30"}
   add{kind = "setting", name = "stall_ms", value = "1500"}
-  for _, engine in ipairs(self.engines) do
-    add{kind = "backend_server", name = engine.vm, parent = "models", data_centre = engine.centre,
-      address = engine.address, memory_mb = 80000, fencing = engine.ignores and "ignores" or "checks"}
+  for _, server in ipairs(self.servers) do
+    add{kind = "backend_server", name = server.vm, parent = "models", data_centre = server.data_centre,
+      address = server.address, memory_mb = 80000, fencing = server.ignores_fencing and "ignores" or "checks"}
   end
   for _, service in ipairs(self.services) do
-    add{kind = "backend_server", name = service.vm, parent = "labels", data_centre = service.centre,
+    add{kind = "backend_server", name = service.vm, parent = "labels", data_centre = service.data_centre,
       address = service.address, fencing = "ignores"}
   end
   for name, model in pairs(self.options.models or self:default_models()) do
@@ -280,13 +280,13 @@
 end
 
 local edits = 0
-function World:apply(rows, daemon)
+function World:apply_table(rows, daemon)
   daemon = daemon or self.daemons[1]
   edits = edits + 1
   local seen = self:table_of(daemon).revision
-  local got = self:post_table(daemon, {revision = seen, change = "edit-" .. edits, who = "scenario", rows = rows})
-  check(got.status == 200, "the table is accepted: " .. got.body)
-  local revision = decode(got.body).revision
+  local response = self:post_table(daemon, {revision = seen, change = "edit-" .. edits, who = "scenario", rows = rows})
+  check(response.status == 200, "the table is accepted: " .. response.body)
+  local revision = decode(response.body).revision
   for _, each in ipairs(self.daemons) do
     if not each.down then
       wait_until(5000, "revision " .. revision .. " in force at " .. each.vm, function()
@@ -301,15 +301,15 @@
 -- Requests ---------------------------------------------------------------------------------------
 
 local request_number = 0
-local function new_request_id()
+local function next_request_id()
   request_number = request_number + 1
   return string.format("q%d.%d", request_number, now())
 end
 
--- Sends a chat to daemon number `index`; `judge` checks the response.
+-- Sends a chat to daemon number `index`; `check_response` checks the response.
 function World:chat(index, model, options)
   options = options or {}
-  local id = new_request_id()
+  local id = next_request_id()
   local deadline = options.deadline_ms or 8000
   local sent = {id = id, model = model, kind = "chat", stream = options.stream ~= false, deadline = deadline}
   sent.handle = request{method = "POST", url = self.daemons[index].url .. "/v1/chat/completions",
@@ -323,7 +323,7 @@
 end
 
 -- Sends chats for all models to all running daemons; each daemon gets one for each model in turn.
-function World:storm(count, options)
+function World:send_chats(count, options)
   for number = 1, count do
     local index = (number - 1) % #self.daemons + 1
     local model = "m" .. ((number - 1) // #self.daemons + number) % 6 + 1
@@ -333,18 +333,18 @@
 
 -- Sends a first chat for m1 whose load order is delayed by 3 s; returns the chat and the daemon that
 -- sends the order.
-function World:hold_first_order(deadline_ms)
-  self:control(self.engines[1], {order_delay_ms = 3000})
+function World:delay_first_order(deadline_ms)
+  self:control(self.servers[1], {order_delay_ms = 3000})
   local sent = self:chat(1, "m1", {deadline_ms = deadline_ms})
   wait_until(5000, "a claim is written", function() return #self:claims() > 0 end)
   sleep(150)
-  self:control(self.engines[1], {order_delay_ms = 0})
+  self:control(self.servers[1], {order_delay_ms = 0})
   return sent, self:daemon_of(self:claims()[1].claim.holder)
 end
 
 function World:label(index, key, options)
   options = options or {}
-  local id = new_request_id()
+  local id = next_request_id()
   local sent = {id = id, kind = "label", key = key, deadline = options.deadline_ms or 5000}
   sent.handle = request{method = "POST", url = self.daemons[index].url .. "/services/labels/create",
     timeout_ms = sent.deadline + 15000,
@@ -355,44 +355,45 @@
   return sent
 end
 
-function World:submit(index, model, key)
-  local got = call{method = "POST", url = self.daemons[index].url .. "/v1/jobs",
+function World:submit_job(index, model, key)
+  local response = call{method = "POST", url = self.daemons[index].url .. "/v1/jobs",
     headers = {["Idempotency-Key"] = key},
     body = encode{model = model, messages = {{role = "user", content = "plan"}}}}
-  return got.status == 202 and decode(got.body).id or nil, got
+  return response.status == 202 and decode(response.body).id or nil, response
 end
 
 function World:await_job(index, id, limit_ms)
   return wait_until(limit_ms or 15000, "job " .. id .. " is done", function()
-    local got = call{url = self.daemons[index].url .. "/v1/jobs/" .. id, timeout_ms = 3000}
-    return got.status == 200 and decode(got.body).state == "done"
+    local response = call{url = self.daemons[index].url .. "/v1/jobs/" .. id, timeout_ms = 3000}
+    return response.status == 200 and decode(response.body).state == "done"
   end)
 end
 
-function World:await(sent, slack_ms)
+function World:await_response(sent, slack_ms)
   sent.answer = wait_until(sent.deadline + (slack_ms or 6000), "a response to " .. sent.id, function()
     return answer(sent.handle)
   end)
   return sent.answer
 end
 
-function World:ok(sent)
-  local got = self:await(sent)
-  check(got.status == 200, sent.id .. " is served: " .. got.status .. " " .. got.body)
-  self:judge(sent)
-  return got
+function World:expect_ok(sent)
+  local response = self:await_response(sent)
+  check(response.status == 200, sent.id .. " is served: " .. response.status .. " " .. response.body)
+  self:check_response(sent)
+  return response
 end
 
 -- Expects a refusal that states not_run.
-function World:refused(sent, status)
-  local got = self:await(sent)
-  check(got.status == status, sent.id .. " is refused with " .. status .. ": " .. got.status .. " " .. got.body)
-  check(decode(got.body).error.ran == "not_run", "the refusal states not_run: " .. got.body)
-  return got
+function World:expect_refused(sent, status)
+  local response = self:await_response(sent)
+  check(response.status == status, sent.id .. " is refused with " .. status .. ": " .. response.status .. " " ..
+    response.body)
+  check(decode(response.body).error.ran == "not_run", "the refusal states not_run: " .. response.body)
+  return response
 end
 
 -- A complete response contains all tokens of its own request and none of another request.
-function World:judge(sent)
+function World:check_response(sent)
   local body = sent.answer.body
   if sent.kind ~= "chat" or sent.answer.status ~= 200 then return end
   local tokens = 0
@@ -401,31 +402,31 @@
     check(tonumber(number) == tokens, "the tokens of " .. sent.id .. " are in order")
     tokens = tokens + 1
   end
-  local marked = not sent.stream or body:find("data: [DONE]", 1, true)
-  local told = body:find("event: error", 1, true)
-  check(told or (marked and tokens == sent.max_tokens),
+  local has_end_marker = not sent.stream or body:find("data: [DONE]", 1, true)
+  local has_error = body:find("event: error", 1, true)
+  check(has_error or (has_end_marker and tokens == sent.max_tokens),
     "an incomplete stream ends with an error: " .. sent.id)
 end
 
 -- Checks the guarantees of the system against the records of the stand-ins.
-function World:check_promises()
+function World:check_guarantees()
   for _, sent in ipairs(self.sent) do
-    if not sent.answer then self:await(sent) end
-    self:judge(sent)
+    if not sent.answer then self:await_response(sent) end
+    self:check_response(sent)
     sent.late_ms = sent.answer.took_ms - sent.deadline
   end
-  local runs, by_key = {}, {}
-  for _, engine in ipairs(self.engines) do
-    if not engine.down then
-      local record = self:control(engine, {})
-      check(not record.overcommitted, engine.vm .. " never used more than its memory: " .. record.peak_mb)
+  local runs, runs_by_key = {}, {}
+  for _, server in ipairs(self.servers) do
+    if not server.down then
+      local record = self:control(server, {})
+      check(not record.overcommitted, server.vm .. " never used more than its memory: " .. record.peak_mb)
       for id, count in pairs(record.runs) do runs[id] = (runs[id] or 0) + count end
     end
   end
   for _, service in ipairs(self.services) do
     local record = self:control(service, {})
     for id, count in pairs(record.runs_by_request) do runs[id] = (runs[id] or 0) + count end
-    for key, count in pairs(record.runs_by_key) do by_key[key] = (by_key[key] or 0) + count end
+    for key, count in pairs(record.runs_by_key) do runs_by_key[key] = (runs_by_key[key] or 0) + count end
   end
   for _, sent in ipairs(self.sent) do
     local refusal = sent.answer.status ~= 200 and decode(sent.answer.body)
@@ -434,7 +435,7 @@
     end
   end
   for key in pairs(self.keys) do
-    check((by_key[key] or 0) <= 1, "the call with key " .. key .. " ran at most once: " .. (by_key[key] or 0))
+    check((runs_by_key[key] or 0) <= 1, "the call with key " .. key .. " ran at most once: " .. (runs_by_key[key] or 0))
   end
   for artifact, peak in pairs(self:ledger().peaks) do
     check(peak <= (self.replicas[artifact] or 0), "no more replicas of " .. artifact ..
@@ -447,15 +448,15 @@
   return self:ledger().holders[artifact] or {}
 end
 
-function World:engine_of(vm)
-  for _, engine in ipairs(self.engines) do if engine.vm == vm then return engine end end
+function World:server_of(vm)
+  for _, server in ipairs(self.servers) do if server.vm == vm then return server end end
 end
 
 function World:daemon_of(vm)
   for _, daemon in ipairs(self.daemons) do if daemon.vm == vm then return daemon end end
 end
 
-function World:keeper_of(vm)
+function World:manager_of(vm)
   return wait_until(5000, "a daemon that manages " .. vm, function()
     for _, daemon in ipairs(self.daemons) do
       local dump = not daemon.down and self:dump(daemon)
@@ -472,15 +473,15 @@
   process.down = true
 end
 
-function World:restart_daemon(daemon, more)
+function World:restart_daemon(daemon, extra_flags)
   daemon.down = nil
-  self:start_daemon(daemon, more)
+  self:start_daemon(daemon, extra_flags)
   self:await_ready(daemon)
 end
 
-function World:restart_engine(engine)
-  engine.down = nil
-  self:start_engine(engine)
+function World:restart_server(server)
+  server.down = nil
+  self:start_server(server)
 end
 
 -- Claims in the platform's rows, as a list of {server, claim}.
