--- a/Tools/check-docs.sh
+++ b/Tools/check-docs.sh
@@ -23,22 +23,22 @@
 
 passed=0
 failed=0
-judge() {
+record_result() {
   if [ "$1" -eq 0 ]; then passed=$((passed + 1)); else failed=$((failed + 1)); echo "FAIL doc command: $2"; fi
 }
 while read -r command; do
   bash -c "$command" >"$WORK/out.txt" 2>&1
-  judge $? "$command"
+  record_result $? "$command"
 done < <(awk '/^```/ {inside = !inside} inside && /^drumpond/' "$OLDPWD"/docs/*.md "$OLDPWD"/README.md)
 while read -r tool; do
   [ -x "$OLDPWD/$tool" ]
-  judge $? "$tool"
+  record_result $? "$tool"
 done < <(grep -ohE 'Tools/[a-z-]+\.sh' "$OLDPWD"/docs/*.md "$OLDPWD"/*.md | sort -u)
 cd "$OLDPWD"
 # Every event that the code logs is listed in the page for operators.
 while read -r event; do
   grep -q "\`$event\`" docs/OPERATIONS.md
-  judge $? "event $event is not in docs/OPERATIONS.md"
+  record_result $? "event $event is not in docs/OPERATIONS.md"
 done < <(grep -Pzoh 'LogEvent\([^"]*?"\K[a-z_.-]+' $(git ls-files 'Source/Core/*.cpp' 'Source/Core/*.h' 'platform/*') | tr '\0' '\n' | sort -u)
 echo "$passed passed, $failed failed"
 [ "$failed" -eq 0 ]
--- a/Tools/check-models.sh
+++ b/Tools/check-models.sh
@@ -24,7 +24,7 @@
   awk '/errors:/ {e=$NF} /states, stored/ {s=$1} END {print e, s}' pan.log
 }
 
-judge() {
+record_result() {
   if [ "$1" = yes ]; then passed=$((passed + 1)); echo "pass $2"; else failed=$((failed + 1)); echo "FAIL $2"; fi
 }
 
@@ -32,11 +32,11 @@
   model=$(basename "$file" .pml)
   read -r errors states < <(verify "$model" "")
   [ "${errors:-none}" = 0 ] && ok=yes || ok=no
-  judge $ok "model $model holds: ${states:-no} states explored, ${errors:-no verdict on} errors"
+  record_result $ok "model $model holds: ${states:-no} states explored, ${errors:-no verdict on} errors"
   for guard in $(sed -n 's/^ \* guards: \(.*\) \*\/$/\1/p' "$file"); do
     read -r errors states < <(verify "$model" "-D$guard")
     [ "${errors:-0}" -ge 1 ] && ok=yes || ok=no
-    judge $ok "model $model without its guard ($guard) has a counterexample, after ${states:-no} states"
+    record_result $ok "model $model without its guard ($guard) has a counterexample, after ${states:-no} states"
   done
 done
 echo "$passed passed, $failed failed"
--- a/Tools/demo.sh
+++ b/Tools/demo.sh
@@ -14,8 +14,8 @@
 
 CENTRES=(charguia-hall ariana-hall ben-arous-hall)
 ENTRY=http://127.0.0.1:7501
-tool() { "$BIN/drumpond" --address 127.0.0.1:7601 "$@"; }
-answer_of() { jq -r '.choices[0].message.content'; }
+operator_cli() { "$BIN/drumpond" --address 127.0.0.1:7601 "$@"; }
+content_of() { jq -r '.choices[0].message.content'; }
 
 echo "== starting stand-ins and six daemons"
 start_backends
@@ -23,8 +23,8 @@
 start_daemons "${CENTRES[@]}"
 
 echo "== applying examples/qasba.csv"
-tool table apply examples/qasba.csv --who demo
-tool table status
+operator_cli table apply examples/qasba.csv --who demo
+operator_cli table status
 
 echo "== a chat to a model that is not loaded, streamed through entry-1"
 curl -fsSN -D "$STACK_LOGS/head" "$ENTRY/v1/chat/completions" \
@@ -40,7 +40,7 @@
   sleep 0.1
 done
 curl -fsS "http://127.0.0.1:7503/v1/jobs/$JOB"
-curl -fsS "http://127.0.0.1:7503/v1/jobs/$JOB/result" | answer_of
+curl -fsS "http://127.0.0.1:7503/v1/jobs/$JOB/result" | content_of
 
 echo "== a label, which is not repeatable, requested twice with the same key: through entry-4, then through entry-5"
 for port in 7504 7505; do
@@ -49,8 +49,8 @@
 done
 
 echo "== loaded models by server"
-tool runners
+operator_cli runners
 echo "== decisions on recipe-17"
-tool explain recipe-17
+operator_cli explain recipe-17
 stop_stack
 echo "demo: done"
--- a/Tools/make-days.py
+++ b/Tools/make-days.py
@@ -8,8 +8,8 @@
 import pathlib
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-OUT = ROOT / "Scenarios" / "Days"
-HUNTED = ROOT / "deploy" / "days"
+KINDS_DIR = ROOT / "Scenarios" / "Days"
+VARIED_DIR = ROOT / "deploy" / "days"
 
 # name: (section, entries without "at")
 KINDS = {
@@ -144,8 +144,8 @@
         ['at = 3.0, kind = "roll_term", share = 1.0, gap_s = 0.7', 'at = 16.0, kind = "roll_term", share = 1.0, how = "busy", gap_s = 0.5'],
         ['at = 5.0, kind = "node_kill", share = 0.3', 'at = 18.0, kind = "node_kill", share = 0.3', 'at = 24.0, kind = "herd_kill", share = 0.6']),
 }
-STORE = ('kind = "platform_down", how = "nodes reset", share = 0.4, for_s = 5.0',
-         'kind = "platform_lost", x = 0.5, for_s = 5.0, how = "late"')
+STORE_FAULTS = ('kind = "platform_down", how = "nodes reset", share = 0.4, for_s = 5.0',
+                'kind = "platform_lost", x = 0.5, for_s = 5.0, how = "late"')
 
 
 def write(path, seed, plan, faults, purpose=""):
@@ -158,16 +158,16 @@
 
 
 def main():
-    OUT.mkdir(exist_ok=True)
+    KINDS_DIR.mkdir(exist_ok=True)
     for number, (name, (section, entries)) in enumerate(KINDS.items()):
         twice = [f"at = {at}, {entry}" for at in (4.0, 17.0) for entry in entries]
-        storm = [f"at = {at}, {entry}" for at, entry in zip((3.0, 16.0), STORE)]
+        storm = [f"at = {at}, {entry}" for at, entry in zip((3.0, 16.0), STORE_FAULTS)]
         plan, faults = (twice, []) if section == "plan" else ([], twice)
-        write(OUT / f"{name}.toml", 1000 + number, plan, faults)
-        write(OUT / f"{name}-and-store.toml", 2000 + number, plan, faults + storm)
-    HUNTED.mkdir(exist_ok=True)
+        write(KINDS_DIR / f"{name}.toml", 1000 + number, plan, faults)
+        write(KINDS_DIR / f"{name}-and-store.toml", 2000 + number, plan, faults + storm)
+    VARIED_DIR.mkdir(exist_ok=True)
     for number, (name, (purpose, plan, faults)) in enumerate(VARIED.items()):
-        write(HUNTED / f"{name}.toml", 3000 + number, plan, faults, purpose)
+        write(VARIED_DIR / f"{name}.toml", 3000 + number, plan, faults, purpose)
 
 
 main()
--- a/Tools/measure.sh
+++ b/Tools/measure.sh
@@ -23,16 +23,16 @@
 # centres_of TABLE: prints its three data centres.
 centres_of() { sed -n 's/^data_centre,\([^,]*\),.*/\1/p' "$1"; }
 
-# engine_totals: prints loaded and busy milliseconds, loads and runs, summed over all engines.
-engine_totals() {
+# sum_engine_usage: prints loaded and busy milliseconds, loads and runs, summed over all engines.
+sum_engine_usage() {
   local index
   for index in 1 2 3 4 5 6 7 8 9; do curl -fs -XPOST "http://127.0.0.1:$((7300 + index))/control" -d '{}'; done |
     jq -sc '{loaded_ms: (map(.loaded_ms)|add), busy_ms: (map(.busy_ms)|add), loads: (map(.loads)|add),
       overcommitted: (map(.overcommitted)|any), runs: (map(.runs|add // 0)|add)}'
 }
 
-# run_house TABLE MODELS LABEL SEED FLAGS...: runs the generated load once against a new stack; FLAGS go to the daemons.
-run_house() {
+# run_load TABLE MODELS LABEL SEED FLAGS...: runs the generated load once against a new stack; FLAGS go to the daemons.
+run_load() {
   local table=$1 models=$2 label=$3 seed=$4
   shift 4
   mapfile -t CENTRES < <(centres_of "$table")
@@ -45,7 +45,7 @@
   local load
   load=$("$BIN/drumpond-load" --targets "$ENTRIES" --models "$models" --rate "${RATE:-12}" --seconds "${SECONDS_LONG:-20}" \
     --exponent 1 --burst-every 2 --jobs-rate 1 --tokens 8 --seed "$seed" --label "$label" ${LOAD_FLAGS:-})
-  jq -nc --argjson load "$load" --argjson engines "$(engine_totals)" \
+  jq -nc --argjson load "$load" --argjson engines "$(sum_engine_usage)" \
     '$load + {engines: $engines, idle_per_useful: (($engines.loaded_ms - $engines.busy_ms) / $engines.busy_ms * 100 | round / 100)}'
   stop_stack
 }
@@ -54,16 +54,16 @@
   local seed
   for seed in "${@:-1 2 3}"; do
     for seed in $seed; do
-      run_house examples/qasba.csv recipe:50,recipe-style:60 qasba-ours "$seed"
-      run_house examples/qasba.csv recipe:50,recipe-style:60 qasba-baseline "$seed" "${BASELINE[@]}" --keep-alive-ms "${QASBA_KEEP_ALIVE:-6000}"
-      run_house examples/verhaeghe.csv returns:50,carrier-style:55 verhaeghe-ours "$seed"
-      run_house examples/verhaeghe.csv returns:50,carrier-style:55 verhaeghe-baseline "$seed" "${BASELINE[@]}" --keep-alive-ms "${VERHAEGHE_KEEP_ALIVE:-2000}"
+      run_load examples/qasba.csv recipe:50,recipe-style:60 qasba-ours "$seed"
+      run_load examples/qasba.csv recipe:50,recipe-style:60 qasba-baseline "$seed" "${BASELINE[@]}" --keep-alive-ms "${QASBA_KEEP_ALIVE:-6000}"
+      run_load examples/verhaeghe.csv returns:50,carrier-style:55 verhaeghe-ours "$seed"
+      run_load examples/verhaeghe.csv returns:50,carrier-style:55 verhaeghe-baseline "$seed" "${BASELINE[@]}" --keep-alive-ms "${VERHAEGHE_KEEP_ALIVE:-2000}"
     done
   done
 }
 
 measure_overload() {
-  RATE=300 LOAD_FLAGS="--deadline-ms 2000" SECONDS_LONG=10 run_house examples/qasba.csv recipe:50,recipe-style:60 overload 1
+  RATE=300 LOAD_FLAGS="--deadline-ms 2000" SECONDS_LONG=10 run_load examples/qasba.csv recipe:50,recipe-style:60 overload 1
   curl -fs "http://127.0.0.1:7601/metrics" 2>/dev/null || true
 }
 
@@ -108,15 +108,15 @@
     memory_before=$(awk '/VmRSS/ {print $2}' "/proc/$daemon_pid/status")
     before=$(cut -d' ' -f14,15 "/proc/$daemon_pid/stat" | tr ' ' +)
     # Four load generators, so that a generator is not the bottleneck.
-    local loaders=() output=()
+    local generator_pids=() output=()
     for index in 1 2 3 4; do
       "$BIN/drumpond-load" --targets http://127.0.0.1:7501 --models "m-0$index" --streams $((streams / 4)) --seconds 8 \
         --tokens 200 --label "relay-$streams-streams" >"$STACK_LOGS/load-$index.json" &
-      loaders+=($!)
+      generator_pids+=($!)
     done
     sleep 5
     memory_after=$(awk '/VmRSS/ {print $2}' "/proc/$daemon_pid/status")
-    wait "${loaders[@]}"
+    wait "${generator_pids[@]}"
     after=$(cut -d' ' -f14,15 "/proc/$daemon_pid/stat" | tr ' ' +)
     jq -sc --argjson cpu "$(((after) - (before)))" --argjson memory $((memory_after - memory_before)) --argjson streams "$streams" \
       '{label: .[0].label, tokens_per_s: (map(.tokens_per_s)|add), ok: (map(.outcomes.ok // 0)|add), cpu_s: ($cpu / 100),
@@ -129,7 +129,7 @@
 # Time from the arrival of a request for a model that is not loaded to the load order at the engine, for several delays
 # of the platform. The slope is the number of round trips to the platform on that path.
 measure_cold_path() {
-  local slow model began ordered number=10
+  local slow model sent_us ordered_us number=10
   for slow in 0 100 200; do
     number=$((number + 1))
     model=recipe-$number
@@ -140,17 +140,18 @@
     sleep 1.5
     curl -fs -o /dev/null -XPOST "http://127.0.0.1:$PLATFORM_PORT/control" -d "{\"slow_ms\":$slow}"
     sleep 0.5
-    began=$(($(date +%s%N) / 1000))
+    sent_us=$(($(date +%s%N) / 1000))
     curl -fs -o /dev/null http://127.0.0.1:7501/v1/chat/completions -d "{\"model\":\"$model\",\"messages\":[]}"
-    ordered=$(for index in 1 2 3 4 5 6 7 8 9; do curl -fs -XPOST "http://127.0.0.1:$((7300 + index))/control" -d '{}'; done |
+    ordered_us=$(for index in 1 2 3 4 5 6 7 8 9; do curl -fs -XPOST "http://127.0.0.1:$((7300 + index))/control" -d '{}'; done |
       jq -s 'map(.first_load_order_us) | max')
-    jq -nc --argjson slow "$slow" --argjson us $((ordered - began)) '{platform_slow_ms: $slow, arrival_to_order_ms: ($us / 1000)}'
+    jq -nc --argjson slow "$slow" --argjson us $((ordered_us - sent_us)) '{platform_slow_ms: $slow, arrival_to_order_ms: ($us / 1000)}'
     stop_stack
   done
 }
 
-# control_point DAEMONS RUNNERS MODELS: cost of control per daemon and second in a stack of that size without requests.
-control_point() {
+# measure_control_size DAEMONS RUNNERS MODELS: cost of control per daemon and second, in a stack of that size without
+# requests.
+measure_control_size() {
   local daemons=$1 runners=$2 models=$3 index vms="" first
   start platform "$BIN/standin-platform" --port "$PLATFORM_PORT"
   wait_for "http://127.0.0.1:$PLATFORM_PORT/control"
@@ -178,7 +179,7 @@
   "$BIN/drumpond" --address 127.0.0.1:22001 table apply "$STACK_LOGS/table.csv" --who measure >/dev/null
   sleep 8
   local before after writes_before writes_after long=20
-  control_totals() {
+  sum_control_usage() {
     local each pid ticks=0 memory=0 bytes=0 messages=0 dump
     for each in $(seq "$daemons"); do
       pid=${STACK_PIDS[$((first + each - 1))]}
@@ -190,9 +191,9 @@
     done
     echo "$ticks $memory $bytes $messages $(curl -fs "http://127.0.0.1:$PLATFORM_PORT/control" | jq '"\(.reads) \(.writes)"' -r)"
   }
-  read -r -a before < <(control_totals)
+  read -r -a before < <(sum_control_usage)
   sleep "$long"
-  read -r -a after < <(control_totals)
+  read -r -a after < <(sum_control_usage)
   jq -nc --argjson d "$daemons" --argjson r "$runners" --argjson m "$models" --argjson s "$long" \
     --argjson cpu $((after[0] - before[0])) --argjson mem "${after[1]}" --argjson bytes $((after[2] - before[2])) \
     --argjson msgs $((after[3] - before[3])) --argjson reads $((after[4] - before[4])) --argjson writes $((after[5] - before[5])) \
@@ -203,12 +204,12 @@
 }
 
 measure_control() {
-  control_point 2 6 50
-  control_point 24 6 50
-  control_point 48 6 50
-  control_point 6 6 50
-  control_point 6 54 50
-  control_point 6 6 3140
+  measure_control_size 2 6 50
+  measure_control_size 24 6 50
+  measure_control_size 48 6 50
+  measure_control_size 6 6 50
+  measure_control_size 6 54 50
+  measure_control_size 6 6 3140
 }
 
 case "${1:-}" in
--- a/Tools/soak.sh
+++ b/Tools/soak.sh
@@ -29,22 +29,22 @@
 LEAVING_FROM=900
 # From this seed on, crashing requests come only after others have completed successfully (see KNOWN-RED.txt).
 LATE_CRASHERS_FROM=950
-# one SEED: runs it on its own loopback addresses.
-one() {
+# run_seed SEED: runs it on its own loopback addresses.
+run_seed() {
   local seed=$1
-  local more=()
-  [ "$seed" -ge "$UNDER_ID_FROM" ] && more=(--restarts-under-id)
-  [ "$seed" -ge "$CRASHERS_FROM" ] && more+=(--crashing-requests)
-  [ "$seed" -ge "$LIMITS_FROM" ] && more+=(--limited-servers)
-  [ "$seed" -ge "$LEAVING_FROM" ] && more+=(--leaving-servers)
-  [ "$seed" -ge "$LATE_CRASHERS_FROM" ] && more+=(--late-crashing-requests)
+  local seed_flags=()
+  [ "$seed" -ge "$UNDER_ID_FROM" ] && seed_flags=(--restarts-under-id)
+  [ "$seed" -ge "$CRASHERS_FROM" ] && seed_flags+=(--crashing-requests)
+  [ "$seed" -ge "$LIMITS_FROM" ] && seed_flags+=(--limited-servers)
+  [ "$seed" -ge "$LEAVING_FROM" ] && seed_flags+=(--leaving-servers)
+  [ "$seed" -ge "$LATE_CRASHERS_FROM" ] && seed_flags+=(--late-crashing-requests)
   build/bin/soak --seed "$seed" --seconds "$SECONDS_EACH" --net "127.$((50 + seed / 250 % 50)).$((seed % 250 + 1))" \
-    --logs "build/soak/$seed" --binary build/soak/drumpondd "${more[@]}" >"build/soak/$seed.txt" 2>&1
+    --logs "build/soak/$seed" --binary build/soak/drumpondd "${seed_flags[@]}" >"build/soak/$seed.txt" 2>&1
   if [ $? -eq 0 ]; then echo "pass soak-$seed"; else echo "FAIL soak-$seed : $(grep BROKEN "build/soak/$seed.txt" | head -n 3 | tr '\n' ';')"; fi
 }
-export -f one
+export -f run_seed
 export SECONDS_EACH UNDER_ID_FROM CRASHERS_FROM LIMITS_FROM LEAVING_FROM LATE_CRASHERS_FROM
-RESULTS=$(echo "$SEEDS" | xargs -P "$AT_ONCE" -I{} bash -c 'one {}')
+RESULTS=$(echo "$SEEDS" | xargs -P "$AT_ONCE" -I{} bash -c 'run_seed {}')
 echo "$RESULTS"
 echo "$(grep -c '^pass' <<<"$RESULTS") passed, $(grep -c '^FAIL' <<<"$RESULTS") failed"
 ! grep -q '^FAIL' <<<"$RESULTS"
--- a/deploy/check.sh
+++ b/deploy/check.sh
@@ -8,7 +8,7 @@
 cd "$(dirname "$0")/.."
 passed=0
 failed=0
-judge() {
+record_result() {
   if [ "$1" -eq 0 ]; then passed=$((passed + 1)); echo "pass deploy $2"; else failed=$((failed + 1)); echo "FAIL deploy $2"; fi
 }
 WORK=$(mktemp -d)
@@ -19,12 +19,12 @@
 for package in $(sed -n '/^packages = \[/,/^\]/p' deploy/system.toml | grep -o '"[^"]*"' | tr -d '"'); do
   grep -qE "(^| )$package( |$)" Tools/setup.sh || { echo "not in Tools/setup.sh: $package"; missing=1; }
 done
-judge $missing "packages are installed by Tools/setup.sh"
+record_result $missing "packages are installed by Tools/setup.sh"
 
 git ls-files -z | xargs -0 cp --parents -t "$WORK" 2>/dev/null
 BUILD=$(sed -n 's/^build = "\(.*\)"$/\1/p' deploy/system.toml)
 (cd "$WORK" && bash -c "$BUILD") >build/test/deploy-build.log 2>&1
-judge $? "builds in a clean directory"
+record_result $? "builds in a clean directory"
 
 RUN=$(sed -n 's/^run = "\(.*\)"$/\1/p' deploy/system.toml)
 cat >"$WORK/node.json" <<JSON
@@ -39,20 +39,20 @@
   sleep 0.1
 done
 [ "$(curl -s -o /dev/null -w '%{http_code}' http://127.0.0.1:7873/ready)" = 503 ]
-judge $? "is not ready without a platform"
+record_result $? "is not ready without a platform"
 curl -s http://127.0.0.1:7875/metrics | grep -q '^drumpond_state{name="servers"} 0'
-judge $? "serves metrics"
+record_result $? "serves metrics"
 [ "$(curl -s http://127.0.0.1:7875/dump | jq -r .ready)" = false ]
-judge $? "serves a dump"
+record_result $? "serves a dump"
 [ "$(curl -s -o /dev/null -w '%{http_code}' http://127.0.0.1:7872/x)" = 503 ]
-judge $? "refuses requests before it has routes"
+record_result $? "refuses requests before it has routes"
 kill -TERM "$DAEMON"
 wait "$DAEMON"
-judge $? "exits with status 0 on SIGTERM"
+record_result $? "exits with status 0 on SIGTERM"
 grep -q 'event=stopped' "$WORK/log"
-judge $? "logs that it stopped"
+record_result $? "logs that it stopped"
 (cd "$WORK" && echo '{}' >bad.json && DRUMPOND_BOOT="$WORK/bad.json" $RUN) >"$WORK/bad.log" 2>&1
 [ $? -eq 2 ] && grep -q 'event=settings-invalid' "$WORK/bad.log"
-judge $? "exits with status 2 and logs invalid settings"
+record_result $? "exits with status 2 and logs invalid settings"
 echo "$passed passed, $failed failed"
 [ "$failed" -eq 0 ]
