--- a/Models/Claim.pml
+++ b/Models/Claim.pml
@@ -8,7 +8,7 @@
  * for a server by one compare-and-set and then sends one load order at any later time. The network
  * may delay the order for any time, and the daemon may terminate in between. A reconciler settles the
  * claim from the server's reports. It may treat the holder as unresponsive at any moment, because a
- * suspended daemon cannot be told from a slow one. Server 0 checks fencing numbers, server 1 ignores
+ * suspended daemon cannot be distinguished from a slow one. Server 0 checks fencing numbers, server 1 ignores
  * them.
  *
  * Verified: there are never more loaded replicas than slots, and nothing is loaded without a claim.
--- a/Models/CrashingRequest.pml
+++ b/Models/CrashingRequest.pml
@@ -4,7 +4,7 @@
  * A request that crashes every server that runs it is sent again at any daemon. Models
  * Source/Core/Crashes/CrashLedger.cpp, its use in Orders/Hub.cpp, and Orders/CrashArchive.cpp.
  *
- * Each daemon remembers the crashes that it observed or was told of. It reports its observations to the
+ * Each daemon remembers the crashes that it observed or learned of. It reports its observations to the
  * holder of the order lease until the holder has confirmed them. Reports, confirmations and the holder's
  * updates may be lost, delayed or duplicated. The holder may change at any time; the next one has only
  * what it knew itself. At any moment one daemon or all of them are killed, once; after the row is
--- a/Models/OrderLease.pml
+++ b/Models/OrderLease.pml
@@ -4,9 +4,9 @@
  * The lease of the daemon that sends orders to backend servers. Models Source/Core/Orders/LeaseManager.h.
  *
  * Two daemons. Time passes in ticks at any point, so a daemon may be suspended between any two of its
- * steps. The response to a write to the store may be delayed or lost. An order leaves some time after it
- * was decided on, because its connection has to be established first. It is dropped if the lease is
- * over by the time at which it would leave.
+ * steps. The response to a write to the store may be delayed or lost. An order is sent some time after it
+ * was decided on, because its connection has to be established first. It is dropped if the lease has
+ * expired by then.
  *
  * Verified: the server never receives orders of two daemons within PAUSE ticks, and fences never
  * decrease.
@@ -24,7 +24,7 @@
 byte now = 0;
 byte writes = 0;
 
-/* When the lease is lost, the connections of orders that have not left are reset. */
+/* When the lease is lost, the connections of orders that have not been sent are reset. */
 #ifdef NO_CHECK_WHEN_LEAVING
 #define DROP_ORDERS skip
 #else
@@ -60,7 +60,7 @@
   byte valid_until = 0;
   byte orders_from = 0;
   byte fence = 0;
-  bool pending = false; /* an order was decided on and has not left */
+  bool pending = false; /* an order was decided on and has not been sent */
   bool response_received;
   bool written;
   bool after_other_holder;
@@ -163,7 +163,7 @@
   /* Decides on an order. */
   :: atomic { !pending && fence != 0 && now < valid_until && now >= orders_from -> pending = true }
 
-  /* The order leaves, and arrives. */
+  /* The order is sent and arrives. */
   :: atomic {
 #ifdef NO_CHECK_WHEN_LEAVING
        pending ->
--- a/Models/ServerDrain.pml
+++ b/Models/ServerDrain.pml
@@ -30,7 +30,7 @@
 byte tenure = 1;
 byte holder = 0;
 byte known_tenure[DAEMONS]; /* latest tenure known to the daemon */
-byte announced_in[DAEMONS]; /* latest tenure whose holder told the daemon that the server is draining */
+byte announced_in[DAEMONS]; /* latest tenure whose holder informed the daemon that the server is draining */
 bool knows[DAEMONS];        /* from a response, a report or an update */
 /* Messages stay in the network, which covers duplicated, delayed and reordered ones. */
 bool report_to[MAX_TENURE + 1];       /* report to the holder of a tenure: the server is draining */
--- a/Scenarios/30-table.lua
+++ b/Scenarios/30-table.lua
@@ -82,7 +82,7 @@
   w:platform_control{outage = true}
   w:kill(w.daemons[2])
   w:restart_daemon(w.daemons[2], {"--seeds", "entry-1=" .. w.daemons[1].peers .. ",entry-3=" .. w.daemons[3].peers})
-  check(w:dump(w.daemons[2]).table_revision == revision, "the table comes from the peers")
+  check(w:dump(w.daemons[2]).table_revision == revision, "the table is read from the peers")
   w:platform_control{outage = false}
   check(w:apply_table(with_replicas(w, "m1", 3), w.daemons[2]) == revision + 1, "edits are accepted again")
 end)
--- a/Tools/measure.sh
+++ b/Tools/measure.sh
@@ -23,7 +23,7 @@
 # centres_of TABLE: prints its three data centres.
 centres_of() { sed -n 's/^data_centre,\([^,]*\),.*/\1/p' "$1"; }
 
-# sum_engine_usage: prints loaded and busy milliseconds, loads and runs, summed over all engines.
+# sum_engine_usage: prints loaded and busy milliseconds, loads and runs, summed over all backend servers.
 sum_engine_usage() {
   local index
   for index in 1 2 3 4 5 6 7 8 9; do curl -fs -XPOST "http://127.0.0.1:$((7300 + index))/control" -d '{}'; done |
@@ -67,7 +67,7 @@
   curl -fs "http://127.0.0.1:7601/metrics" 2>/dev/null || true
 }
 
-# Streams through one daemon, compared with the same streams sent directly to the engine.
+# Streams through one daemon, compared with the same streams sent directly to the backend server.
 measure_relay() {
   start platform "$BIN/standin-platform" --port "$PLATFORM_PORT"
   wait_for "http://127.0.0.1:$PLATFORM_PORT/control"
@@ -96,7 +96,7 @@
     curl -fs -o /dev/null http://127.0.0.1:7501/v1/chat/completions -d "{\"model\":\"m-0$index\",\"messages\":[]}"
   done
   local model target streams daemon_pid=${STACK_PIDS[5]}
-  # Each engine serves one model; only that of the first is needed.
+  # Each backend server serves one model; only that of the first is needed.
   for index in 1 2 3 4; do
     model=$(curl -fs -XPOST "http://127.0.0.1:$((7300 + index))/control" -d '{}' | jq -r '.artifacts | keys[0]')
     [ "$index" = 1 ] && { target=http://127.0.0.1:7301; direct_model=$model; }
@@ -126,8 +126,8 @@
   stop_stack
 }
 
-# Time from the arrival of a request for a model that is not loaded to the load order at the engine, for several delays
-# of the platform. The slope is the number of round trips to the platform on that path.
+# Time from the arrival of a request for a model that is not loaded to the load order at the backend server, for
+# several delays of the platform. The slope is the number of round trips to the platform on that path.
 measure_cold_path() {
   local slow model sent_us ordered_us number=10
   for slow in 0 100 200; do
--- a/Tools/stack.sh
+++ b/Tools/stack.sh
@@ -35,8 +35,8 @@
   STACK_PIDS=()
 }
 
-# start_backends ENGINE_FLAGS...: starts the platform, the weight store, nine engines and three plain services. Every
-# third engine ignores fencing.
+# start_backends SERVER_FLAGS...: starts the platform, the weight store, nine backend servers and three plain services.
+# Every third backend server ignores fencing. SERVER_FLAGS go to the backend servers.
 start_backends() {
   start platform "$BIN/standin-platform" --port "$PLATFORM_PORT"
   start weight-store "$BIN/standin-weight-store" --port "$WEIGHT_STORE_PORT" --load-ms "${LOAD_MS:-600}" \
