--- a/Models/OrderLease.pml
+++ b/Models/OrderLease.pml
@@ -1,41 +1,43 @@
 /* SPDX-FileCopyrightText: 2026 The drumpond developers
  * SPDX-License-Identifier: Apache-2.0
  *
- * The lease of the daemon that orders backend servers (Source/Core/Orders/LeaseManager.h). Two daemons; time
- * passes in ticks at any point, so a daemon may be frozen between any two of its steps. A write to the
- * store may be answered late, or its answer lost. Claimed: the server never takes orders of two daemons
- * within PAUSE ticks, and fences never go down.
+ * The lease of the daemon that sends orders to backend servers. Models Source/Core/Orders/LeaseManager.h.
  *
- * An order leaves after it was decided on: its connection has to come first. What was decided on is
- * dropped where the lease is over when it would leave.
+ * Two daemons. Time passes in ticks at any point, so a daemon may be suspended between any two of its
+ * steps. The response to a write to the store may be delayed or lost. An order is sent some time after it
+ * was decided on, because its connection has to be established first. It is dropped if the lease has
+ * expired by then.
  *
- * Each switch takes one guard out.
+ * Verified: the server never receives orders of two daemons within PAUSE ticks, and fences never
+ * decrease.
+ *
+ * Each name below is a switch that removes one guard.
  * guards: NO_CHECK_WHEN_LEAVING COUNT_FROM_ANSWER NO_PAUSE BLIND_WRITE NO_WAIT NO_ORDERING_MARK */
 
 #define DURATION 1
 #define PAUSE 2
 #define LAST_TICK 4
-#define MOST_WRITES 4
-#define NOBODY 2
+#define MAX_WRITES 4
+#define NO_DAEMON 2
 #define RELEASED 3
 
 byte now = 0;
 byte writes = 0;
 
-/* The connections of orders that have not left are reset with the lease's loss. */
+/* When the lease is lost, the connections of orders that have not been sent are reset. */
 #ifdef NO_CHECK_WHEN_LEAVING
-#define LOSE_ORDERS skip
+#define DROP_ORDERS skip
 #else
-#define LOSE_ORDERS pending = false
+#define DROP_ORDERS pending = false
 #endif
 
 /* The row in the store. */
 byte row_version = 0;
-byte row_holder = NOBODY;
-bool row_ordering = false; /* its holder has been through the pause */
+byte row_holder = NO_DAEMON;
+bool row_ordering = false; /* its holder has completed the pause */
 
-/* What the server has taken. */
-byte last_daemon = NOBODY;
+/* Last order that the server received. */
+byte last_sender = NO_DAEMON;
 byte last_order_at = 0;
 byte last_fence = 0;
 
@@ -47,10 +49,10 @@
   od
 }
 
-proctype Daemon(byte me)
+proctype Daemon(byte self)
 {
   byte seen_version = 0;
-  byte seen_holder = NOBODY;
+  byte seen_holder = NO_DAEMON;
   bool seen_ordering = false;
   byte seen_at = 0;
   byte sent_at;
@@ -58,11 +60,11 @@
   byte valid_until = 0;
   byte orders_from = 0;
   byte fence = 0;
-  bool pending = false; /* an order was decided on */
-  bool answered;
+  bool pending = false; /* an order was decided on and has not been sent */
+  bool response_received;
   bool written;
-  bool follows_another;
-  bool begun;
+  bool after_other_holder;
+  bool ordering;
 
   do
   :: now == LAST_TICK -> break
@@ -76,21 +78,21 @@
        seen_at = now
      }
 
-  /* Acquires or renews. */
-  :: writes < MOST_WRITES && ((fence != 0 && now < valid_until) ||
+  /* Acquires or renews the lease. */
+  :: writes < MAX_WRITES && ((fence != 0 && now < valid_until) ||
 #ifdef NO_WAIT
      true
 #else
-     seen_holder >= NOBODY || seen_holder == me || now > seen_at + DURATION
+     seen_holder >= NO_DAEMON || seen_holder == self || now > seen_at + DURATION
 #endif
      ) ->
      atomic {
 #ifdef NO_ORDERING_MARK
-       follows_another = (seen_holder != NOBODY && seen_holder != me);
+       after_other_holder = (seen_holder != NO_DAEMON && seen_holder != self);
 #else
-       follows_another = (seen_holder != NOBODY && !(seen_holder == me && seen_ordering));
+       after_other_holder = (seen_holder != NO_DAEMON && !(seen_holder == self && seen_ordering));
 #endif
-       begun = (fence != 0 && now >= orders_from);
+       ordering = (fence != 0 && now >= orders_from);
        expected = seen_version;
        sent_at = now
      };
@@ -102,21 +104,21 @@
        written = (row_version == expected);
 #endif
        if
-       :: written -> row_version++; row_holder = me; row_ordering = begun
+       :: written -> row_version++; row_holder = self; row_ordering = ordering
        :: else -> skip
        fi;
-       /* The answer comes late, or never. */
+       /* The response is delayed or lost. */
        if
-       :: answered = true
-       :: answered = false
+       :: response_received = true
+       :: response_received = false
        fi
      };
      atomic {
         if
-        :: written && answered ->
+        :: written && response_received ->
           seen_version = expected + 1;
-          seen_holder = me;
-          seen_ordering = begun;
+          seen_holder = self;
+          seen_ordering = ordering;
           seen_at = now;
 #ifdef COUNT_FROM_ANSWER
           valid_until = now + DURATION;
@@ -129,7 +131,7 @@
 #ifdef NO_PAUSE
              orders_from = now
 #else
-             orders_from = (follows_another -> now + PAUSE : now)
+             orders_from = (after_other_holder -> now + PAUSE : now)
 #endif
           :: else -> skip
           fi
@@ -138,16 +140,16 @@
         expected = 0;
         sent_at = 0;
         written = false;
-        answered = false;
-        follows_another = false;
-        begun = false
+        response_received = false;
+        after_other_holder = false;
+        ordering = false
      }
 
-  /* Gives it back. */
-  :: writes < MOST_WRITES && fence != 0 && seen_holder == me ->
+  /* Releases the lease. */
+  :: writes < MAX_WRITES && fence != 0 && seen_holder == self ->
      atomic {
        fence = 0;
-       LOSE_ORDERS;
+       DROP_ORDERS;
        writes++;
        if
        :: row_version == seen_version -> row_version++; row_holder = RELEASED; row_ordering = false
@@ -155,22 +157,22 @@
        fi
      }
 
-  /* Its time is over, or the row is another's. */
-  :: atomic { fence != 0 && (now >= valid_until || seen_holder != me) -> fence = 0; LOSE_ORDERS }
+  /* The lease has expired, or another daemon holds the row. */
+  :: atomic { fence != 0 && (now >= valid_until || seen_holder != self) -> fence = 0; DROP_ORDERS }
 
   /* Decides on an order. */
   :: atomic { !pending && fence != 0 && now < valid_until && now >= orders_from -> pending = true }
 
-  /* The order leaves, and arrives. */
+  /* The order is sent and arrives. */
   :: atomic {
 #ifdef NO_CHECK_WHEN_LEAVING
        pending ->
 #else
        pending && now < valid_until ->
 #endif
-       assert(last_daemon == NOBODY || last_daemon == me || now >= last_order_at + PAUSE);
+       assert(last_sender == NO_DAEMON || last_sender == self || now >= last_order_at + PAUSE);
        assert(fence == 0 || fence >= last_fence);
-       last_daemon = me;
+       last_sender = self;
        last_order_at = now;
        last_fence = (fence > last_fence -> fence : last_fence);
        pending = false
--- a/Tools/make-days.py
+++ b/Tools/make-days.py
@@ -1,14 +1,15 @@
 #!/usr/bin/env python3
 # SPDX-FileCopyrightText: 2026 The drumpond developers
 # SPDX-License-Identifier: Apache-2.0
-"""Writes days for the users' bench. deploy/days: few, which every hunt varies on every site. Scenarios/Days: one
-for each kind of trouble, alone, and one together with trouble at the platform's store, to be run by hand. Each file is
-named after what it strikes."""
+"""Generates the days (fault schedules) for the bench of the users. deploy/days: a few days, which every hunt (a
+randomized search for failures) varies for every site. Scenarios/Days: two days for each kind of fault or planned
+operation, one with it alone and one with faults of the platform's store in addition, to be run by hand. Each file is
+named after what it exercises."""
 import pathlib
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
-OUT = ROOT / "Scenarios" / "Days"
-HUNTED = ROOT / "deploy" / "days"
+KINDS_DIR = ROOT / "Scenarios" / "Days"
+VARIED_DIR = ROOT / "deploy" / "days"
 
 # name: (section, entries without "at")
 KINDS = {
@@ -90,15 +91,16 @@
                               'kind = "clock_step", x = 5000, share = 0.6, for_s = 6.0, how = "back"']),
     "hup": ("plan", ['kind = "hup", share = 1.0, gap_s = 2.0']),
     "reset-conns": ("faults", ['kind = "reset_conns", share = 0.8, x = 0.8']),
-    # Only the grown sites know these.
+    # Only the grown sites of the bench support these.
     "srv-flap": ("faults", ['kind = "srv_flap", share = 0.3, gap_s = 1.5, for_s = 8.0']),
     "srv-lying-errors": ("faults", ['kind = "srv_lying_health", share = 0.3, for_s = 8.0, how = "errors"']),
     "srv-lying-hang": ("faults", ['kind = "srv_lying_health", share = 0.3, for_s = 8.0, how = "hang"']),
     "srv-lying-bad": ("faults", ['kind = "srv_lying_health", share = 0.5, for_s = 8.0, how = "bad"']),
-    # The configuration outgrows what a link of 10 Mbit/s carries in a second.
+    # The configuration becomes larger than a link of 10 Mbit/s transfers in a second.
     "big-configs": ("plan", ['kind = "big_config", count = 1400'] * 2),
 }
-# name: (what it is for, plan, faults); @s0 and @c0 stand for a site's first service and kind of request.
+# name: (purpose, plan, faults); @s0 and @c0 are placeholders for the first service and the first request class of a
+# site.
 VARIED = {
     "servers-start-again": (
         "Servers start again under their id, behind cuts and by crashes, while demand moves.",
@@ -142,8 +144,8 @@
         ['at = 3.0, kind = "roll_term", share = 1.0, gap_s = 0.7', 'at = 16.0, kind = "roll_term", share = 1.0, how = "busy", gap_s = 0.5'],
         ['at = 5.0, kind = "node_kill", share = 0.3', 'at = 18.0, kind = "node_kill", share = 0.3', 'at = 24.0, kind = "herd_kill", share = 0.6']),
 }
-STORE = ('kind = "platform_down", how = "nodes reset", share = 0.4, for_s = 5.0',
-         'kind = "platform_lost", x = 0.5, for_s = 5.0, how = "late"')
+STORE_FAULTS = ('kind = "platform_down", how = "nodes reset", share = 0.4, for_s = 5.0',
+                'kind = "platform_lost", x = 0.5, for_s = 5.0, how = "late"')
 
 
 def write(path, seed, plan, faults, purpose=""):
@@ -156,16 +158,16 @@
 
 
 def main():
-    OUT.mkdir(exist_ok=True)
+    KINDS_DIR.mkdir(exist_ok=True)
     for number, (name, (section, entries)) in enumerate(KINDS.items()):
         twice = [f"at = {at}, {entry}" for at in (4.0, 17.0) for entry in entries]
-        storm = [f"at = {at}, {entry}" for at, entry in zip((3.0, 16.0), STORE)]
+        storm = [f"at = {at}, {entry}" for at, entry in zip((3.0, 16.0), STORE_FAULTS)]
         plan, faults = (twice, []) if section == "plan" else ([], twice)
-        write(OUT / f"{name}.toml", 1000 + number, plan, faults)
-        write(OUT / f"{name}-and-store.toml", 2000 + number, plan, faults + storm)
-    HUNTED.mkdir(exist_ok=True)
+        write(KINDS_DIR / f"{name}.toml", 1000 + number, plan, faults)
+        write(KINDS_DIR / f"{name}-and-store.toml", 2000 + number, plan, faults + storm)
+    VARIED_DIR.mkdir(exist_ok=True)
     for number, (name, (purpose, plan, faults)) in enumerate(VARIED.items()):
-        write(HUNTED / f"{name}.toml", 3000 + number, plan, faults, purpose)
+        write(VARIED_DIR / f"{name}.toml", 3000 + number, plan, faults, purpose)
 
 
 main()
