--- a/Source/Core/BackendServers/HttpEngine.cpp
+++ b/Source/Core/BackendServers/HttpEngine.cpp
@@ -95,9 +95,9 @@
   report.on_disk = ParseIds(*json, "on_disk");
   report.in_memory = ParseIds(*json, "in_memory");
   if (report.vm.Empty() || report.incarnation.Empty())
-    return {FailureKind::Protocol, "the report names no VM or no incarnation"};
+    return {FailureKind::Protocol, "the report lacks a VM or an incarnation"};
   if (report.capacity.Get() < 0 || report.capacity.Get() > MAX_CAPACITY_MB)
-    return {FailureKind::Protocol, "the report has no sensible capacity"};
+    return {FailureKind::Protocol, "the capacity in the report is missing or out of range"};
   return report;
 }
 
@@ -119,7 +119,7 @@
   if (!response)
     co_return response.Reason();
   if (response->status != STATUS_OK)
-    co_return Failure{FailureKind::Unavailable, "the engine answered no report"};
+    co_return Failure{FailureKind::Unavailable, "the backend server did not return a report"};
   co_return ParseReport(response->body);
 }
 
@@ -129,8 +129,8 @@
   Http::Request request = NewRequest("POST", address, "/v1/engine/orders");
   request.body = Common::DumpJson(ToJson(order));
   request.timeout = timeout;
-  // A load order is sent once. On a reused connection that the engine just closed it would end
-  // with an unknown outcome for nothing.
+  // A load order is sent only once. On a reused connection that the server has just closed, it
+  // would fail with an unknown outcome although the server never received it.
   request.fresh_connection = true;
   const auto response = co_await m_client.Send(std::move(request));
   if (!response)
--- a/Source/Core/BackendServers/HttpEngine.h
+++ b/Source/Core/BackendServers/HttpEngine.h
@@ -12,21 +12,22 @@
 
 namespace BackendServers
 {
-/// Parses an engine's report. Fails with Protocol where it is not one.
+/// Parses the report of a backend server. Fails with Protocol if the text is not a valid report.
 Common::Result<EngineReport> ParseReport(std::string_view text);
 
-/// Model engines over HTTP: JSON orders and reports, chat completions in the published form.
+/// Client of backend servers over HTTP: JSON orders and reports, and chat completions in the
+/// OpenAI-compatible format.
 class HttpEngine
 {
 public:
-  /// `vm` names this VM to the backend servers, for their logs.
+  /// `vm` is this VM. It is sent to the backend servers for their logs.
   explicit HttpEngine(Common::VmId vm) : m_vm(std::move(vm)) {}
 
   Common::Task<Common::Result<EngineReport>> Report(std::string address);
   Common::Task<Common::Result<Common::Done>> Order(std::string address, EngineOrder order,
                                                    Common::Milliseconds timeout);
 
-  /// A request of a caller on its way to a backend server.
+  /// A caller's request to be forwarded to a backend server.
   struct Call
   {
     std::string method = "POST";
@@ -39,7 +40,7 @@
     bool repeatable = true;
   };
 
-  /// Forwards the call and gives the answer as it arrives.
+  /// Forwards the call and returns the response once its headers have arrived.
   Common::Task<Common::Result<std::unique_ptr<Http::ResponseStream>>> Forward(Call call);
 
 private:
--- a/Source/Core/BackendServers/Types.h
+++ b/Source/Core/BackendServers/Types.h
@@ -20,18 +20,19 @@
   Unloading,
 };
 
-/// One artifact in an engine's memory, as the engine reports it.
+/// An artifact in the memory of a backend server, as reported by the server.
 struct LoadedArtifact
 {
   Common::ArtifactId id;
   ArtifactState state = ArtifactState::Loading;
   std::int64_t running = 0;
-  std::int64_t served = 0; ///< Requests since it was loaded.
+  std::int64_t served = 0; ///< Requests since the artifact was loaded.
   Common::Milliseconds idle{0};
-  Common::Milliseconds age{0}; ///< Since it was loaded.
+  Common::Milliseconds age{0}; ///< Time since the artifact was loaded.
 };
 
-/// What an engine says of itself. Artifacts are current; `running` lags.
+/// The state of a backend server as reported by itself. The artifacts are current, but the counts
+/// of running requests lag behind.
 struct EngineReport
 {
   Common::VmId vm;
@@ -51,10 +52,11 @@
 {
   Load,
   Unload,
-  RaiseFence, ///< Changes nothing but the engine's fencing number.
+  RaiseFence, ///< Only raises the server's fencing number.
 };
 
-/// An order to one incarnation of an engine. Engines that check refuse an older fencing number.
+/// An order to one instance of a backend server. A server that checks fencing numbers rejects an
+/// order whose number is older than one that it has seen.
 struct EngineOrder
 {
   OrderKind kind = OrderKind::Load;
@@ -66,9 +68,9 @@
   Common::ClaimId claim;
 };
 
-/// What drumpond needs of a model engine. Another engine is one new class with these calls.
-/// `Order` answers when it has been carried out. Failures: NotSent and Refused say that it has no
-/// effect; Timeout and OutcomeUnknown leave that open.
+/// Client of a backend server. To support another kind of model server, add a class that satisfies
+/// this concept. `Order` completes when the server has carried out the order. After NotSent and
+/// Refused the order has no effect; after Timeout and OutcomeUnknown it may have one.
 template <typename T>
 concept EngineClient = requires(T client, std::string address, EngineOrder order,
                                 Common::Milliseconds timeout)
--- a/Source/Core/Callers/Answers.h
+++ b/Source/Core/Callers/Answers.h
@@ -13,17 +13,17 @@
 
 namespace Callers
 {
-/// What a caller must know of a request that failed.
+/// Whether a failed request was executed. Callers decide by it whether a retry is safe.
 enum class RunState
 {
-  NotRun,  ///< Certainly not run.
-  Ran,     ///< Run, with an answer that cannot be given.
-  Unknown, ///< It may have run.
+  NotRun,  ///< Certainly not executed.
+  Ran,     ///< Executed, but its response cannot be delivered.
+  Unknown, ///< Possibly executed.
 };
 
 std::string_view ToString(RunState state);
 
-/// A failed call in the form that callers get.
+/// A failed call as it is reported to the caller.
 struct CallFailure
 {
   Common::Failure failure;
@@ -34,12 +34,13 @@
 CallFailure MakeFailure(Common::FailureKind kind, std::string detail, RunState ran,
                         Common::Milliseconds retry_after = Common::Milliseconds(0));
 
-/// The HTTP status for a failure.
+/// Returns the HTTP status for a failure.
 int StatusOf(const CallFailure& failure);
 
-/// The body: {"error": {"type", "message", "ran", "retry_after_ms"}, "request_id"}.
+/// Returns the response body:
+/// {"error": {"type", "message", "ran", "retry_after_ms"}, "request_id"}.
 Common::Json ToJson(const CallFailure& failure, const Common::RequestId& request);
 
-/// Answers with status, body and, where it helps, Retry-After.
+/// Responds with the status and body for `failure`, and with Retry-After if it has a retry time.
 void Refuse(Http::Exchange& exchange, const CallFailure& failure, const Common::RequestId& request);
 } // namespace Callers
--- a/Source/Core/Callers/CallContext.cpp
+++ b/Source/Core/Callers/CallContext.cpp
@@ -32,15 +32,16 @@
   }
   const std::string header = exchange.Header("authorization");
   if (!header.starts_with(BEARER))
-    return {FailureKind::Unauthorized, "expected Authorization: Bearer KEY"};
+    return {FailureKind::Unauthorized, "expected the header Authorization: Bearer KEY"};
   const Table::Service* service =
       catalog.FindServiceByKeyHash(Common::Sha256Hex(header.substr(BEARER.size())));
   if (!service)
-    return {FailureKind::Unauthorized, "no service of the table has this key"};
+    return {FailureKind::Unauthorized, "no service in the table has this key"};
   return *service;
 }
 
-/// The caller's own id where it is a plain one: the request can then be followed through its logs.
+/// Uses the caller's request id if it is well formed, so that the request can be traced across both
+/// sides' logs. Otherwise generates one.
 Common::RequestId RequestIdOf(const Http::Exchange& exchange)
 {
   const std::string given = exchange.Header("x-request-id");
@@ -83,8 +84,8 @@
   if (!service)
     return service.Reason();
   if (service->limit > 0 && gateway.open[service->id] >= service->limit)
-    return {FailureKind::Overloaded,
-            "the service has " + std::to_string(service->limit) + " open requests already"};
+    return {FailureKind::Overloaded, "the service has reached its limit of " +
+                                         std::to_string(service->limit) + " open requests"};
   CallContext context;
   context.request = RequestIdOf(exchange);
   context.service = *service;
@@ -99,7 +100,7 @@
     return context;
   const auto given = ParseDeadline(header);
   if (!given)
-    return {FailureKind::InvalidInput, "expected X-Deadline-Ms: a number of milliseconds"};
+    return {FailureKind::InvalidInput, "X-Deadline-Ms must be a positive number of milliseconds"};
   context.patience = Milliseconds(*given);
   return context;
 }
--- a/Source/Core/Callers/CallContext.h
+++ b/Source/Core/Callers/CallContext.h
@@ -17,19 +17,19 @@
 
 namespace Callers
 {
-/// What the callers' interfaces share.
+/// State shared by all HTTP interfaces for callers.
 struct Gateway
 {
   Serving::Environment& environment;
   Serving::Router& router;
   Common::Metrics& metrics;
-  /// Open requests of each calling service.
+  /// Number of open requests per calling service.
   std::map<Common::ServiceId, std::int64_t> open;
   Decisions::RetryBudget retries;
   bool stopping = false;
 };
 
-/// Who calls, until when, and under which id: read from the head of the request.
+/// Id, calling service and deadline of a request, read from its headers.
 struct CallContext
 {
   Common::RequestId request;
@@ -44,7 +44,7 @@
   }
 };
 
-/// Counts a request as open until it is destroyed.
+/// Counts a request of `service` as open for the lifetime of this object.
 class OpenRequest
 {
 public:
@@ -58,8 +58,9 @@
   Common::ServiceId m_service;
 };
 
-/// Identifies the caller and checks its limits. `fallback` is the deadline where neither the
-/// request (X-Deadline-Ms) nor its service in the table names one.
+/// Identifies the calling service and checks its limit of open requests. `fallback` is the timeout
+/// if neither the request (X-Deadline-Ms) nor the service's row in the table sets one; if it is
+/// zero, the table's `deadline_ms` setting applies.
 /// Failures: Unauthorized, InvalidInput, Overloaded, Unavailable.
 Common::Result<CallContext> Identify(Gateway& gateway, const Http::Exchange& exchange,
                                      Common::Milliseconds fallback);
--- a/Source/Core/Callers/ChatApi.cpp
+++ b/Source/Core/Callers/ChatApi.cpp
@@ -20,7 +20,8 @@
 constexpr std::size_t AFFINITY_BYTES = 256;
 constexpr int STATUS_OK = 200;
 
-/// The beginning of the conversation: equal beginnings share an engine's prefix cache.
+/// Returns the beginning of the conversation as routing affinity: requests with the same beginning
+/// can share the prefix cache of a backend server.
 std::string Affinity(const Json& body)
 {
   const Json& messages = Common::GetArray(body, "messages");
@@ -45,12 +46,12 @@
 {
   auto json = Common::ParseJson(body);
   if (!json || !json->is_object())
-    return {FailureKind::InvalidInput, "the body is not a JSON object"};
+    return {FailureKind::InvalidInput, "the request body is not a JSON object"};
   const std::string model = GetOr(*json, "model", std::string());
   if (model.empty())
-    return {FailureKind::InvalidInput, "expected \"model\", a string"};
+    return {FailureKind::InvalidInput, "\"model\" must be a non-empty string"};
   if (!json->contains("messages") || !(*json)["messages"].is_array())
-    return {FailureKind::InvalidInput, "expected \"messages\", an array"};
+    return {FailureKind::InvalidInput, "\"messages\" must be an array"};
   const Table::Artifact* artifact =
       gateway.environment.table.Current().Resolve(model, Common::SharedRandom());
   if (!artifact)
--- a/Source/Core/Callers/ChatApi.h
+++ b/Source/Core/Callers/ChatApi.h
@@ -7,12 +7,13 @@
 
 namespace Callers
 {
-/// A parsed chat request, or why it is none. `model` in the body names a model, a version or an
-/// adapter of the table.
+/// Parses the body of a chat request and resolves its `model`, which names a model, a version or an
+/// adapter in the table. Sets `stream` to whether the caller wants a streamed response.
+/// Failures: InvalidInput, NotFound.
 Common::Result<ChatRequest> ParseChat(Gateway& gateway, CallContext context,
                                       const std::string& body, bool* stream);
 
-/// POST /v1/chat/completions and GET /v1/models, in the published form.
+/// POST /v1/chat/completions and GET /v1/models in the OpenAI-compatible format.
 class ChatApi
 {
 public:
--- a/Source/Core/Callers/ChatRelay.cpp
+++ b/Source/Core/Callers/ChatRelay.cpp
@@ -26,7 +26,7 @@
 constexpr Milliseconds RETRY_AFTER{1000};
 constexpr int MAX_ATTEMPTS = 3;
 
-/// An engine that answers so has not run the request.
+/// Whether the status means that the backend server rejected the request without running it.
 bool IsDeclined(int status)
 {
   return status == STATUS_NOT_FOUND || status == STATUS_TOO_MANY || status == STATUS_UNAVAILABLE;
@@ -39,7 +39,7 @@
   return found != headers.end() && found->second == request.Get();
 }
 
-/// Keeps the last bytes of a stream, to see whether it ended with the end mark.
+/// Keeps the last bytes of a stream to detect whether it ends with the end marker.
 class EndMarkWatch
 {
 public:
@@ -106,20 +106,21 @@
     else if (IsDeclined((*opened)->Status()))
     {
       kind = FailureKind::Overloaded;
-      detail = "the engine declined with status " + std::to_string((*opened)->Status());
+      detail = "the backend server rejected the request with status " +
+               std::to_string((*opened)->Status());
       ran = RunState::NotRun;
       m_gateway.metrics.CountAttempt("declined");
     }
     else if ((*opened)->Status() != STATUS_OK)
     {
       kind = FailureKind::Protocol;
-      detail = "the engine answered status " + std::to_string((*opened)->Status());
+      detail = "the backend server responded with status " + std::to_string((*opened)->Status());
       m_gateway.metrics.CountAttempt("broken");
     }
     else if (!AnswersRequest(**opened, request.context.request))
     {
       kind = FailureKind::Protocol;
-      detail = "the engine answered another request";
+      detail = "the backend server responded to a different request";
       m_gateway.metrics.CountAttempt("crossed");
     }
     else
@@ -130,7 +131,8 @@
     LogEvent(
         LogLevel::Warning, "chat.attempt_failed",
         {{"request", request.context.request}, {"server", grant.Server()}, {"reason", detail}});
-    // What declined may serve again soon; what failed is this request's last choice.
+    // The router avoids this server for a while. A server that rejected the request may soon accept
+    // it; one that failed becomes the last resort for this request.
     m_gateway.router.OnServerDeclined(request.artifact.id, grant.Server());
     if (kind != FailureKind::Overloaded)
       history->failed.insert(grant.Server());
@@ -159,7 +161,7 @@
   {
     m_gateway.metrics.CountAttempt("crossed");
     co_return MakeFailure(FailureKind::Protocol,
-                          "the engine's answer is not whole or not this request's",
+                          "the backend server's response is incomplete or to a different request",
                           RunState::Unknown);
   }
   co_return body;
@@ -212,8 +214,9 @@
     history.failed.insert(opened.grant.Server());
     if (MayRetry(request.context, history))
       continue;
-    CallFailure failure = MakeFailure(FailureKind::OutcomeUnknown, "the engine broke off",
-                                      RunState::Unknown, RETRY_AFTER);
+    CallFailure failure =
+        MakeFailure(FailureKind::OutcomeUnknown, "the backend server's stream is empty",
+                    RunState::Unknown, RETRY_AFTER);
     if (!first)
       failure.failure = first.Reason();
     m_gateway.metrics.CountRequest("chat", std::string(ToString(failure.failure.kind)));
@@ -221,8 +224,9 @@
   }
 }
 
-/// Passes the bytes on as they come. A stream that ends without its end mark ends for the caller
-/// with an error event and a broken connection, never like a whole one.
+/// Forwards the bytes as they arrive. If the stream ends without its end marker, the caller gets an
+/// error event and an aborted connection, so that it cannot mistake the response for a complete
+/// one.
 Task<void> ChatRelay::Relay(Http::ResponseStream& stream, std::string first, CallContext context,
                             Http::ExchangePtr exchange)
 {
@@ -250,8 +254,9 @@
     m_gateway.metrics.CountRequest("chat", "ok");
     co_return exchange->EndStream();
   }
-  CallFailure failure = MakeFailure(FailureKind::OutcomeUnknown, "the engine's stream ended early",
-                                    RunState::Unknown);
+  CallFailure failure =
+      MakeFailure(FailureKind::OutcomeUnknown,
+                  "the backend server's stream ended without its end marker", RunState::Unknown);
   if (!chunk)
     failure.failure = chunk.Reason();
   LogEvent(LogLevel::Warning, "chat.stream_broken",
@@ -260,7 +265,7 @@
   const std::string event =
       "event: error\ndata: " + Common::DumpJson(ToJson(failure, context.request)) + "\n\n";
   co_await exchange->Write(event);
-  // Give the event a moment to leave before the connection breaks.
+  // Gives the event time to be sent before the connection is aborted.
   co_await Common::Sleep{Milliseconds(20)};
   exchange->Abort();
 }
--- a/Source/Core/Callers/ChatRelay.h
+++ b/Source/Core/Callers/ChatRelay.h
@@ -13,31 +13,32 @@
 
 namespace Callers
 {
-/// One chat completion on its way to an engine.
+/// A chat completion request to be sent to a backend server.
 struct ChatRequest
 {
   CallContext context;
   Table::Artifact artifact;
-  std::string body; ///< JSON with the artifact as its model.
+  std::string body; ///< JSON; `model` is the id of the artifact.
   std::string affinity;
 };
 
-/// A whole answer.
+/// A complete response.
 struct ChatAnswer
 {
   std::string body;
   Common::VmId server;
 };
 
-/// Sends chat completions to engines. Generation may be repeated: as long as no byte of an answer
-/// went to the caller, a broken attempt is tried elsewhere, within the deadline and the budget.
+/// Sends chat completions to backend servers. Generation is repeatable: a failed attempt is retried
+/// as long as no byte of a response was sent to the caller, within the deadline, the retry budget
+/// and the maximum number of attempts.
 class ChatRelay
 {
 public:
   explicit ChatRelay(Gateway& gateway) : m_gateway(gateway) {}
 
   Common::Task<std::variant<ChatAnswer, CallFailure>> RunWhole(ChatRequest request);
-  /// Streams to the caller, and answers it in every case.
+  /// Streams the response to the caller. On failure, sends the error to the caller as well.
   Common::Task<void> RunStream(ChatRequest request, Http::ExchangePtr exchange);
 
 private:
@@ -47,16 +48,16 @@
     std::unique_ptr<Http::ResponseStream> stream;
   };
   using Attempt = std::variant<Opened, CallFailure>;
-  /// What one request has tried already.
+  /// The attempts made for one request so far.
   struct History
   {
     int attempts = 0;
     std::set<Common::VmId> failed;
   };
 
-  /// Routes and sends until an engine begins to answer with this request's id.
+  /// Routes and sends the request until a backend server starts a response with this request's id.
   Common::Task<Attempt> Open(ChatRequest request, History* history);
-  /// Whether another attempt may be made; takes it from the budget.
+  /// Returns whether another attempt is allowed. If so, consumes a token of the retry budget.
   bool MayRetry(const CallContext& context, const History& history);
   Common::Task<std::variant<std::string, CallFailure>> ReadWhole(Http::ResponseStream& stream,
                                                                  CallContext context);
--- a/Source/Core/Callers/Jobs.cpp
+++ b/Source/Core/Callers/Jobs.cpp
@@ -62,7 +62,7 @@
   return "jobs/" + id + "/request";
 }
 
-/// Each attempt writes an object of its own, so that a late one overwrites nothing.
+/// Each attempt writes a separate object, so that a late attempt cannot overwrite another's result.
 std::string ResultObject(const Job& job)
 {
   return "jobs/" + job.id + "/result-" + std::to_string(job.attempt);
@@ -82,7 +82,7 @@
   return "open";
 }
 
-/// A repeated submission with the same key names the same job.
+/// Derives the id from the idempotency key, so that a retried submission maps to the same job.
 std::string JobId(const Common::ServiceId& service, const std::string& key)
 {
   if (key.empty())
@@ -228,11 +228,11 @@
   const auto row = co_await store.ReadOne(JobKey(id));
   if (!row)
   {
-    const Failure failure{FailureKind::Unavailable, "the platform does not answer"};
+    const Failure failure{FailureKind::Unavailable, "the platform does not respond"};
     co_return Fail(*exchange, failure);
   }
   const auto job = ParseJob(row->value);
-  // A job of another service is as good as unknown to this caller.
+  // A caller must not learn that a job of another service exists.
   if (!job || job->service != context->service.id)
   {
     const Failure failure{FailureKind::NotFound, "no job " + id};
@@ -282,8 +282,9 @@
   }
 }
 
-/// Takes a job over where its holder cannot or may not be running it. A holder that is only silent
-/// may finish it too: then one of the two commits loses, and the result stands once.
+/// Takes over an open job unless a live daemon that is not stopping holds it. Also resumes a job
+/// that this VM holds but does not run. An unresponsive holder may still finish the job: then one
+/// of the two commits fails, and there is still only one result.
 Task<void> Jobs::Consider(std::string id)
 {
   const auto row = co_await m_gateway.environment.store.ReadOne(JobKey(id));
@@ -350,7 +351,7 @@
   co_return co_await m_relay.RunWhole(std::move(*request));
 }
 
-/// True when the job has ended or is no longer this daemon's.
+/// Returns true if the job has ended or another daemon has taken it over.
 Task<bool> Jobs::RunOnce(Job job, std::int64_t version)
 {
   auto& store = m_gateway.environment.store;
@@ -362,7 +363,8 @@
   {
     LogEvent(LogLevel::Warning, "job.attempt_failed",
              {{"job", job.id}, {"reason", failure->failure.detail}});
-    // The table may get the model back; only input that can never run fails the job.
+    // Only input that can never run fails the job. Any other failure may be temporary; even a model
+    // that is missing from the table may be added again.
     if (failure->failure.kind != FailureKind::InvalidInput)
       co_return false;
     job.state = JobState::Failed;
--- a/Source/Core/Callers/Jobs.h
+++ b/Source/Core/Callers/Jobs.h
@@ -18,7 +18,7 @@
   Failed,
 };
 
-/// A bulk job as it stands in the platform.
+/// A bulk job as stored in the platform.
 struct Job
 {
   std::string id;
@@ -27,22 +27,23 @@
   std::int64_t attempt = 0;
   Common::VmId holder;
   Common::Incarnation holder_incarnation;
-  std::string result_key; ///< In the object store, where done.
-  std::string error;      ///< Where failed.
+  std::string result_key; ///< In the object store; set if `state` is Done.
+  std::string error;      ///< Set if `state` is Failed.
 };
 
 std::string SerializeJob(const Job& job);
 std::optional<Job> ParseJob(const std::string& text);
 
-/// Bulk jobs: accepted only after they are stored, run under an attempt number, with one result
-/// committed. The daemon that accepted a job runs it; a job whose daemon is gone or silent is taken
-/// over by the daemon that hashing gives its shard to.
+/// Accepts and runs bulk jobs. A job is accepted only after it is stored. Each attempt to run it
+/// has a number, and only one result is committed. The daemon that accepted a job runs it. If that
+/// daemon is gone, unresponsive or stopping, the owner of the job's shard takes the job over; the
+/// owner is chosen by rendezvous hashing over the live daemons.
 class Jobs
 {
 public:
   Jobs(Gateway& gateway, ChatRelay& relay, Common::Milliseconds scan_interval);
 
-  /// Begins to look for jobs that nobody runs.
+  /// Starts the periodic scan for jobs that no daemon is running.
   void Start();
 
   /// POST /v1/jobs, GET /v1/jobs/ID and GET /v1/jobs/ID/result.
--- a/Source/Core/Callers/PlainServices.cpp
+++ b/Source/Core/Callers/PlainServices.cpp
@@ -63,7 +63,7 @@
   return "once/" + caller.Get() + "/" + service + "/" + Common::Sha256Hex(key);
 }
 
-/// Tells two calls with the same key apart.
+/// Identifies the content of a call, to detect a key that is reused for a different call.
 std::string BodyHash(const std::string& method, const std::string& path, const std::string& body)
 {
   return Common::Sha256Hex(method + path + "\n" + body);
@@ -128,7 +128,7 @@
   call.repeatable = reads || m_gateway.environment.table.Current().IsRepeatable(name, call.path);
   if (!call.repeatable && (call.key.empty() || call.key.size() > MAX_KEY))
     return {FailureKind::InvalidInput,
-            "this call may not be repeated: expected Idempotency-Key of 1 to 200 characters"};
+            "this call is not repeatable and requires an Idempotency-Key of 1 to 200 characters"};
   return call;
 }
 
@@ -202,14 +202,14 @@
   if (stream.Status() == STATUS_UNAVAILABLE && HeaderOf(stream.GetHeaders(), "x-ran") == "not_run")
   {
     m_gateway.metrics.CountAttempt("declined");
-    co_return MakeFailure(FailureKind::Unavailable, "the service declined", RunState::NotRun,
-                          RETRY_AFTER);
+    co_return MakeFailure(FailureKind::Unavailable, "the backend server rejected the call",
+                          RunState::NotRun, RETRY_AFTER);
   }
   if (HeaderOf(stream.GetHeaders(), "x-request-id") != call.context.request.Get())
   {
     m_gateway.metrics.CountAttempt("crossed");
-    co_return MakeFailure(FailureKind::Protocol, "the service answered another request",
-                          RunState::Unknown);
+    co_return MakeFailure(FailureKind::Protocol,
+                          "the backend server responded to a different request", RunState::Unknown);
   }
   Answer answer;
   answer.status = stream.Status();
@@ -234,8 +234,9 @@
 Task<PlainServices::Outcome> PlainServices::RunRepeatable(Call call)
 {
   m_gateway.retries.OnRequest();
-  Outcome last = MakeFailure(FailureKind::Unavailable, "no server of the service takes work",
-                             RunState::NotRun, RETRY_AFTER);
+  Outcome last =
+      MakeFailure(FailureKind::Unavailable, "no backend server of the service accepts requests",
+                  RunState::NotRun, RETRY_AFTER);
   for (const Table::BackendServer& server : ServersFor(call))
   {
     last = co_await Send(call, server);
@@ -247,17 +248,19 @@
   co_return last;
 }
 
-/// Another server is tried only where the one before certainly did not run the call.
+/// Tries another server only if the previous one certainly did not execute the call.
 Task<PlainServices::Outcome> PlainServices::SendOnce(Call call)
 {
-  Outcome last = MakeFailure(FailureKind::Unavailable, "no server of the service takes work",
-                             RunState::NotRun, RETRY_AFTER);
+  Outcome last =
+      MakeFailure(FailureKind::Unavailable, "no backend server of the service accepts requests",
+                  RunState::NotRun, RETRY_AFTER);
   for (const Table::BackendServer& server : ServersFor(call))
   {
-    // After a freeze the deadline has passed: the caller has given up, so nothing is sent.
+    // If this process was suspended, the deadline may have passed. The caller has given up by then,
+    // so nothing is sent.
     if (call.context.Left().count() <= 0)
       co_return MakeFailure(FailureKind::DeadlineUnmeetable,
-                            "the deadline passed before it was sent", RunState::NotRun,
+                            "the deadline passed before the call was sent", RunState::NotRun,
                             RETRY_AFTER);
     last = co_await Send(call, server);
     const auto* failure = std::get_if<CallFailure>(&last);
@@ -301,23 +304,24 @@
   transaction.writes.push_back({key, SerializeRecord(record)});
   const auto patience = std::min(STORE_PATIENCE, call.context.Left());
   const auto outcome = co_await m_gateway.environment.store.Commit(transaction, Now() + patience);
-  // The record may stand although its answer was lost. Then nothing was sent, and nothing will be:
-  // this request has not run, whatever a repetition with the same key is told.
+  // If the response was lost, the record may have been written nevertheless. This request sends
+  // nothing in that case, so it was not executed, whatever a retry with the same key is told.
   if (!outcome)
-    co_return MakeFailure(FailureKind::Unavailable, "the platform does not answer",
+    co_return MakeFailure(FailureKind::Unavailable, "the platform does not respond",
                           RunState::NotRun, RETRY_AFTER);
   if (outcome->committed)
     co_return Started{outcome->version};
   if (outcome->conflicts.empty())
-    co_return MakeFailure(FailureKind::Protocol, "the platform names no conflict",
+    co_return MakeFailure(FailureKind::Protocol,
+                          "the platform rejected the transaction without a conflict",
                           RunState::NotRun);
   const Platform::StoredRow& row = outcome->conflicts.front();
   const auto earlier = ParseRecord(row.value);
   if (!earlier)
-    co_return MakeFailure(FailureKind::Protocol, "the record of this key cannot be read",
+    co_return MakeFailure(FailureKind::Protocol, "the stored record of this key cannot be parsed",
                           RunState::Unknown);
   if (earlier->body_hash != record.body_hash)
-    co_return MakeFailure(FailureKind::Conflict, "this key was used for another call",
+    co_return MakeFailure(FailureKind::Conflict, "this key was already used for a different call",
                           RunState::NotRun);
   co_return co_await BeginAgain(call, *earlier, row.version);
 }
@@ -325,7 +329,7 @@
 Task<PlainServices::Beginning> PlainServices::Begin(Call call)
 {
   if (m_gateway.environment.store.IsDown())
-    co_return MakeFailure(FailureKind::Unavailable, "the platform does not answer",
+    co_return MakeFailure(FailureKind::Unavailable, "the platform does not respond",
                           RunState::NotRun, RETRY_AFTER);
   co_return co_await WriteStarted(call, 0);
 }
@@ -345,8 +349,8 @@
     co_return MakeFailure(FailureKind::OutcomeUnknown, "an earlier call with this key may have run",
                           RunState::Unknown);
   case OnceState::Started:
-    // This process wrote it and is not running it: the answer to its write was lost, so it gave up
-    // and sent nothing.
+    // This process wrote the record but has no call in progress: the response to its write was
+    // lost, so it gave up and sent nothing.
     if (record.holder == membership.Self().vm &&
         record.holder_incarnation == membership.Self().incarnation)
       co_return co_await WriteStarted(call, version);
@@ -357,12 +361,13 @@
     co_return MakeFailure(FailureKind::OutcomeUnknown, "an earlier call with this key may have run",
                           RunState::Unknown);
   }
-  co_return MakeFailure(FailureKind::OutcomeUnknown, "unknown state", RunState::Unknown);
+  co_return MakeFailure(FailureKind::OutcomeUnknown, "the stored record has an unknown state",
+                        RunState::Unknown);
 }
 
-/// Records what became of the call. Where the platform does not answer soon, the caller gets its
-/// answer all the same and the record follows; until then a repetition is told that it may have
-/// run, which is true.
+/// Stores the outcome of the call. If the platform does not respond in time, the caller gets its
+/// response anyway and the outcome is stored later. Until then a retry is told that the call may
+/// have been executed, which is true.
 Task<bool> PlainServices::Settle(Call call, std::int64_t version, Outcome outcome)
 {
   OnceRecord record;
--- a/Source/Core/Callers/PlainServices.h
+++ b/Source/Core/Callers/PlainServices.h
@@ -15,12 +15,12 @@
 enum class OnceState
 {
   Started, ///< The call may have been sent.
-  Done,    ///< It ran; its answer is kept.
-  NotRun,  ///< It certainly did not run; the same key may try again.
-  Unknown, ///< It may have run; it is never sent again.
+  Done,    ///< The call was executed; its response is stored.
+  NotRun,  ///< The call was certainly not executed; a retry with the same key may send it.
+  Unknown, ///< The call may have been executed; it is never sent again.
 };
 
-/// The platform's record of a call that may not be repeated.
+/// The record of a non-repeatable call as stored in the platform.
 struct OnceRecord
 {
   OnceState state = OnceState::Started;
@@ -35,8 +35,9 @@
 std::string SerializeRecord(const OnceRecord& record);
 std::optional<OnceRecord> ParseRecord(const std::string& text);
 
-/// /services/NAME/PATH: calls of plain services. What the table does not declare repeatable needs
-/// an Idempotency-Key and runs at most once.
+/// Forwards calls of /services/NAME/PATH to plain services. GET, HEAD and calls that the table
+/// declares repeatable are retried. Any other call requires an Idempotency-Key and is executed at
+/// most once.
 class PlainServices
 {
 public:
@@ -84,7 +85,7 @@
   Common::Task<void> SettleLater(std::string key, Platform::Transaction transaction);
 
   Gateway& m_gateway;
-  /// Records that this process has begun and not settled.
+  /// Keys of the records that this process has started and whose outcome is not stored yet.
   std::set<std::string> m_active;
 };
 } // namespace Callers
--- a/Source/Core/Operators/OperatorsApi.cpp
+++ b/Source/Core/Operators/OperatorsApi.cpp
@@ -125,7 +125,7 @@
       return action(exchange);
     const Json body = {{"error",
                         {{"type", "unauthorized"},
-                         {"message", "this needs an operator's token of a higher role"}}}};
+                         {"message", "this requires an operator token with a higher role"}}}};
     exchange->RespondJson(STATUS_FORBIDDEN, body);
     return [](Http::ExchangePtr) -> Task<void> {
       co_return;
@@ -204,7 +204,7 @@
   const std::string change_id = GetOr(*body, "change", std::string());
   if (change_id.empty())
   {
-    const Failure failure{FailureKind::InvalidInput, "expected \"change\", an id of the edit"};
+    const Failure failure{FailureKind::InvalidInput, "\"change\" must be the id of the edit"};
     co_return Fail(*exchange, failure);
   }
   const Common::Revision seen(GetOr(*body, "revision", std::int64_t(-1)));
@@ -223,7 +223,7 @@
   const auto changes = co_await m_inspected.gateway.environment.table.History(count);
   if (!changes)
   {
-    const Failure failure{FailureKind::Unavailable, "the platform does not answer"};
+    const Failure failure{FailureKind::Unavailable, "the platform does not respond"};
     co_return Fail(*exchange, failure);
   }
   Json json = Json::array();
--- a/Source/Core/Operators/OperatorsApi.h
+++ b/Source/Core/Operators/OperatorsApi.h
@@ -17,15 +17,16 @@
 enum class Role
 {
   None,
-  Viewer, ///< May look.
-  Editor, ///< May change the table.
+  Viewer, ///< Read-only access.
+  Editor, ///< Read access and changes of the table.
 };
 
-/// Tokens of operators by role. Without any, everybody who reaches the address is an editor.
+/// Access tokens of operators and their roles. If there are none, every client is an editor.
 class Tokens
 {
 public:
-  /// Reads lines ROLE:TOKEN. Fails with InvalidInput where a line is not one.
+  /// Reads a file with one ROLE:TOKEN per line; an empty path gives no tokens. Fails with
+  /// InvalidInput if the file cannot be read or a line is malformed.
   static Common::Result<Tokens> Load(const std::string& path);
 
   Role RoleOf(const Http::Exchange& exchange) const;
@@ -34,7 +35,7 @@
   std::map<std::string, Role> m_roles;
 };
 
-/// The parts of the daemon that operators look at.
+/// Components of the daemon whose state the operators' interface exposes.
 struct Inspected
 {
   Callers::Gateway& gateway;
@@ -45,7 +46,7 @@
   std::function<bool()> ready;
 };
 
-/// The HTTP interface for operators: table, status, dump, explanations, probes, metrics.
+/// The HTTP interface for operators: table, status dump, decision log, health probes and metrics.
 class OperatorsApi
 {
 public:
@@ -56,7 +57,7 @@
 
   void Register(Http::Server& server);
 
-  /// The whole state of this daemon.
+  /// Returns the state of this daemon as JSON.
   Common::Json Dump();
 
 private:
--- a/Source/Daemon/Main.cpp
+++ b/Source/Daemon/Main.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// drumpondd: the daemon on every entry VM.
+// drumpondd, the daemon that runs on every entry VM.
 
 #include <csignal>
 #include <cstdlib>
@@ -61,7 +61,8 @@
     return 1;
   }
   const int status = application.Run();
-  // The process ends here; tearing down what open coroutines refer to would serve nothing.
+  // Exits without running destructors: suspended coroutines still refer to the objects, and the
+  // process ends anyway.
   Common::FlushLog();
   std::_Exit(status);
 }
--- a/Source/UnitTests/Main.cpp
+++ b/Source/UnitTests/Main.cpp
@@ -20,10 +20,10 @@
 
 namespace
 {
-/// Inputs for each decoder, unless `--fuzz ROUNDS` says otherwise.
+/// Number of inputs for each decoder if `--fuzz` is given without ROUNDS.
 constexpr int FUZZ_ROUNDS = 20000;
 
-/// The name without the namespace that every test class lies in.
+/// Strips the anonymous namespace that all test classes are in.
 std::string ShortName(const std::string& name)
 {
   constexpr std::string_view PREFIX = "(anonymous namespace)::";
@@ -44,9 +44,9 @@
   result.addListener(&progress);
   CppUnit::TestRunner runner;
   runner.addTest(CppUnit::TestFactoryRegistry::getRegistry().makeTest());
-  // The name of one test, as a run of all prints it, runs that alone.
+  // The optional argument is the name of a single test, as printed by a run of all tests.
   runner.run(result, argc > 1 ? argv[1] : "");
-  // One form for all suites: "FAIL NAME ...", by which KNOWN-RED.txt is matched.
+  // All suites print failures as "FAIL NAME ...", which is matched against KNOWN-RED.txt.
   for (const CppUnit::TestFailure* failure : collector.failures())
     std::cout << "FAIL " << ShortName(failure->failedTestName()) << " at "
               << failure->sourceLine().fileName() << ":" << failure->sourceLine().lineNumber()
