--- a/Source/Core/BackendServers/HttpEngine.cpp
+++ b/Source/Core/BackendServers/HttpBackendClient.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "BackendServers/HttpEngine.h"
+#include "BackendServers/HttpBackendClient.h"
 
 #include <algorithm>
 
@@ -21,8 +21,8 @@
 
 constexpr Common::Milliseconds REPORT_TIMEOUT{1000};
 constexpr int STATUS_OK = 200;
-constexpr int STATUS_CLIENT_ERROR = 400;
-constexpr int STATUS_SERVER_ERROR = 500;
+constexpr int FIRST_CLIENT_ERROR_STATUS = 400;
+constexpr int FIRST_SERVER_ERROR_STATUS = 500;
 constexpr std::int64_t MAX_CAPACITY_MB = 100'000'000;
 
 std::string_view OrderName(OrderKind kind)
@@ -46,9 +46,9 @@
   return text == "unloading" ? ArtifactState::Unloading : ArtifactState::Loading;
 }
 
-LoadedArtifact ParseArtifact(const Json& json)
+ReportedArtifact ParseArtifact(const Json& json)
 {
-  LoadedArtifact artifact;
+  ReportedArtifact artifact;
   artifact.id = ArtifactId(GetOr(json, "id", std::string()));
   artifact.state = ParseState(GetOr(json, "state", std::string()));
   artifact.running = GetOr(json, "running", std::int64_t(0));
@@ -67,7 +67,7 @@
   return ids;
 }
 
-Json ToJson(const EngineOrder& order)
+Json ToJson(const BackendOrder& order)
 {
   return {{"action", OrderName(order.kind)}, {"artifact", order.artifact.Get()},
           {"base", order.base.Get()},        {"memory_mb", order.memory.Get()},
@@ -76,12 +76,12 @@
 }
 } // namespace
 
-Result<EngineReport> ParseReport(std::string_view text)
+Result<BackendReport> ParseReport(std::string_view text)
 {
   const auto json = Common::ParseJson(text);
   if (!json || !json->is_object())
     return {FailureKind::Protocol, "the report is not a JSON object"};
-  EngineReport report;
+  BackendReport report;
   report.vm = Common::VmId(GetOr(*json, "vm", std::string()));
   report.incarnation = Common::Incarnation(GetOr(*json, "incarnation", std::string()));
   report.capacity = Common::MegaBytes(GetOr(*json, "capacity_mb", std::int64_t(-1)));
@@ -101,8 +101,8 @@
   return report;
 }
 
-Http::Request HttpEngine::NewRequest(const char* method, const std::string& address,
-                                     const std::string& path) const
+Http::Request HttpBackendClient::NewRequest(const char* method, const std::string& address,
+                                            const std::string& path) const
 {
   Http::Request request;
   request.method = method;
@@ -111,7 +111,7 @@
   return request;
 }
 
-Task<Result<EngineReport>> HttpEngine::Report(std::string address)
+Task<Result<BackendReport>> HttpBackendClient::Report(std::string address)
 {
   Http::Request request = NewRequest("GET", address, "/v1/engine/report");
   request.timeout = REPORT_TIMEOUT;
@@ -123,8 +123,8 @@
   co_return ParseReport(response->body);
 }
 
-Task<Result<Done>> HttpEngine::Order(std::string address, EngineOrder order,
-                                     Common::Milliseconds timeout)
+Task<Result<Done>> HttpBackendClient::Order(std::string address, BackendOrder order,
+                                            Common::Milliseconds timeout)
 {
   Http::Request request = NewRequest("POST", address, "/v1/engine/orders");
   request.body = Common::DumpJson(ToJson(order));
@@ -137,12 +137,12 @@
     co_return response.Reason();
   if (response->status == STATUS_OK)
     co_return Done{};
-  const bool declined =
-      response->status >= STATUS_CLIENT_ERROR && response->status < STATUS_SERVER_ERROR;
-  co_return Failure{declined ? FailureKind::Refused : FailureKind::OutcomeUnknown, response->body};
+  const bool rejected =
+      response->status >= FIRST_CLIENT_ERROR_STATUS && response->status < FIRST_SERVER_ERROR_STATUS;
+  co_return Failure{rejected ? FailureKind::Refused : FailureKind::OutcomeUnknown, response->body};
 }
 
-Task<Result<std::unique_ptr<Http::ResponseStream>>> HttpEngine::Forward(Call call)
+Task<Result<std::unique_ptr<Http::ResponseStream>>> HttpBackendClient::Forward(Call call)
 {
   Http::Request request = NewRequest(call.method.c_str(), call.address, call.path);
   request.headers.merge(call.headers);
--- a/Source/Core/BackendServers/HttpEngine.h
+++ b/Source/Core/BackendServers/HttpBackendClient.h
@@ -13,18 +13,18 @@
 namespace BackendServers
 {
 /// Parses the report of a backend server. Fails with Protocol if the text is not a valid report.
-Common::Result<EngineReport> ParseReport(std::string_view text);
+Common::Result<BackendReport> ParseReport(std::string_view text);
 
 /// Client of backend servers over HTTP: JSON orders and reports, and chat completions in the
 /// OpenAI-compatible format.
-class HttpEngine
+class HttpBackendClient
 {
 public:
   /// `vm` is this VM. It is sent to the backend servers for their logs.
-  explicit HttpEngine(Common::VmId vm) : m_vm(std::move(vm)) {}
+  explicit HttpBackendClient(Common::VmId vm) : m_vm(std::move(vm)) {}
 
-  Common::Task<Common::Result<EngineReport>> Report(std::string address);
-  Common::Task<Common::Result<Common::Done>> Order(std::string address, EngineOrder order,
+  Common::Task<Common::Result<BackendReport>> Report(std::string address);
+  Common::Task<Common::Result<Common::Done>> Order(std::string address, BackendOrder order,
                                                    Common::Milliseconds timeout);
 
   /// A caller's request to be forwarded to a backend server.
--- a/Source/Core/BackendServers/Types.h
+++ b/Source/Core/BackendServers/Types.h
@@ -21,7 +21,7 @@
 };
 
 /// An artifact in the memory of a backend server, as reported by the server.
-struct LoadedArtifact
+struct ReportedArtifact
 {
   Common::ArtifactId id;
   ArtifactState state = ArtifactState::Loading;
@@ -33,7 +33,7 @@
 
 /// The state of a backend server as reported by itself. The artifacts are current, but the counts
 /// of running requests lag behind.
-struct EngineReport
+struct BackendReport
 {
   Common::VmId vm;
   Common::Incarnation incarnation;
@@ -43,7 +43,7 @@
   bool ready = false;
   std::int64_t running = 0;
   std::int64_t max_running = 0;
-  std::vector<LoadedArtifact> artifacts;
+  std::vector<ReportedArtifact> artifacts;
   std::vector<Common::ArtifactId> on_disk;
   std::vector<Common::ArtifactId> in_memory;
 };
@@ -57,7 +57,7 @@
 
 /// An order to one instance of a backend server. A server that checks fencing numbers rejects an
 /// order whose number is older than one that it has seen.
-struct EngineOrder
+struct BackendOrder
 {
   OrderKind kind = OrderKind::Load;
   Common::ArtifactId artifact;
@@ -72,12 +72,12 @@
 /// this concept. `Order` completes when the server has carried out the order. After NotSent and
 /// Refused the order has no effect; after Timeout and OutcomeUnknown it may have one.
 template <typename T>
-concept EngineClient = requires(T client, std::string address, EngineOrder order,
-                                Common::Milliseconds timeout)
+concept BackendClient = requires(T client, std::string address, BackendOrder order,
+                                 Common::Milliseconds timeout)
 {
   {
     client.Report(address)
-    } -> std::same_as<Common::Task<Common::Result<EngineReport>>>;
+    } -> std::same_as<Common::Task<Common::Result<BackendReport>>>;
   {
     client.Order(address, order, timeout)
     } -> std::same_as<Common::Task<Common::Result<Common::Done>>>;
--- a/Source/Core/Callers/ChatRelay.cpp
+++ b/Source/Core/Callers/ChatRelay.cpp
@@ -85,7 +85,7 @@
     Serving::Grant grant = std::move(std::get<Serving::Grant>(route));
 
     ++history->attempts;
-    BackendServers::HttpEngine::Call call;
+    BackendServers::HttpBackendClient::Call call;
     call.address = grant.Address();
     call.path = "/v1/chat/completions";
     call.body = request.body;
--- a/Source/Core/Callers/PlainServices.cpp
+++ b/Source/Core/Callers/PlainServices.cpp
@@ -180,7 +180,7 @@
 
 Task<PlainServices::Outcome> PlainServices::Send(Call call, Table::BackendServer server)
 {
-  BackendServers::HttpEngine::Call forward;
+  BackendServers::HttpBackendClient::Call forward;
   forward.method = call.method;
   forward.address = server.address;
   forward.path = call.path;
--- a/Source/Core/Daemon/Application.cpp
+++ b/Source/Core/Daemon/Application.cpp
@@ -125,7 +125,7 @@
   Settings settings;
   GMainLoop* loop = g_main_loop_new(nullptr, FALSE);
   Platform::HttpPlatform platform;
-  BackendServers::HttpEngine engine;
+  BackendServers::HttpBackendClient engine;
   Daemons::Membership membership;
   Platform::Store store;
   Daemons::Link link;
--- a/Source/Core/Serving/Environment.h
+++ b/Source/Core/Serving/Environment.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "BackendServers/HttpEngine.h"
+#include "BackendServers/HttpBackendClient.h"
 #include "Common/Units.h"
 #include "Daemons/Link.h"
 #include "Daemons/Membership.h"
@@ -37,7 +37,7 @@
 struct Environment
 {
   Platform::Store& store;
-  BackendServers::HttpEngine& engine;
+  BackendServers::HttpBackendClient& engine;
   Daemons::Membership& membership;
   Daemons::Link& link;
   TableFollower& table;
--- a/Source/Core/Serving/ServerController.cpp
+++ b/Source/Core/Serving/ServerController.cpp
@@ -14,9 +14,9 @@
 namespace
 {
 using BackendServers::ArtifactState;
-using BackendServers::EngineOrder;
-using BackendServers::LoadedArtifact;
+using BackendServers::BackendOrder;
 using BackendServers::OrderKind;
+using BackendServers::ReportedArtifact;
 using Common::ArtifactId;
 using Common::ClaimId;
 using Common::Failure;
@@ -37,7 +37,7 @@
 constexpr int UNREACHABLE_AFTER_FAILURES = 2;
 constexpr int ORPHAN_AFTER_REPORTS = 3;
 
-ReportedState ToReported(const LoadedArtifact* artifact)
+ReportedState ToReported(const ReportedArtifact* artifact)
 {
   if (!artifact)
     return ReportedState::Absent;
@@ -123,18 +123,18 @@
   m_report = std::move(*report);
   m_report_current = true;
   m_report_requested_at = asked;
-  for (const LoadedArtifact& artifact : m_report->artifacts)
+  for (const ReportedArtifact& artifact : m_report->artifacts)
     m_absent_since.erase(artifact.id);
   for (const Claim& claim : m_ledger.Row().claims)
     if (!Reported(claim.artifact))
       m_absent_since.emplace(claim.artifact, Now());
 }
 
-const LoadedArtifact* ServerController::Reported(const ArtifactId& id) const
+const ReportedArtifact* ServerController::Reported(const ArtifactId& id) const
 {
   if (!m_report)
     return nullptr;
-  const auto found = std::ranges::find(m_report->artifacts, id, &LoadedArtifact::id);
+  const auto found = std::ranges::find(m_report->artifacts, id, &ReportedArtifact::id);
   return found == m_report->artifacts.end() ? nullptr : &*found;
 }
 
@@ -269,7 +269,7 @@
       Now() + m_environment.timing.claim_timeout));
   if (!raised)
     co_return;
-  EngineOrder order;
+  BackendOrder order;
   order.kind = OrderKind::RaiseFence;
   order.fence = fence;
   order.incarnation = m_report->incarnation;
@@ -286,7 +286,7 @@
 Task<void> ServerController::UnloadOrphans()
 {
   std::vector<ArtifactId> orphans;
-  for (const LoadedArtifact& artifact : m_report->artifacts)
+  for (const ReportedArtifact& artifact : m_report->artifacts)
     if (!m_ledger.Row().FindArtifact(artifact.id) && !m_placing.contains(artifact.id))
       orphans.push_back(artifact.id);
   std::erase_if(m_orphan_reports, [&](const auto& item) {
@@ -329,7 +329,7 @@
   {
     if (claim.state != ClaimState::Loaded || m_unloading.contains(claim.id))
       continue;
-    const LoadedArtifact* reported = Reported(claim.artifact);
+    const ReportedArtifact* reported = Reported(claim.artifact);
     if (!reported || HasLoadedAdapter(claim.artifact))
       continue;
     const Table::Artifact* artifact = m_environment.table.Current().FindArtifact(claim.artifact);
@@ -383,7 +383,7 @@
         m_loaded.contains(claim.id) ? ReplicaState::Loaded : ToReplicaState(claim.state);
     replica.memory = claim.memory;
     replica.surplus = m_environment.table.HasTable() && IsSurplus(claim);
-    if (const LoadedArtifact* reported = Reported(claim.artifact))
+    if (const ReportedArtifact* reported = Reported(claim.artifact))
     {
       replica.running = reported->running;
       replica.idle_ms = reported->idle.count();
--- a/Source/Core/Serving/ServerController.h
+++ b/Source/Core/Serving/ServerController.h
@@ -73,7 +73,7 @@
 
   Decisions::ReconcileInput Describe(const Claim& claim);
   Decisions::OrderStatus OrderStatusOf(const Claim& claim, Common::TimePoint* since) const;
-  const BackendServers::LoadedArtifact* Reported(const Common::ArtifactId& id) const;
+  const BackendServers::ReportedArtifact* Reported(const Common::ArtifactId& id) const;
   bool IsOwnClaim(const Claim& claim) const;
   /// Whether the platform has removed the server's VM and the server no longer reports.
   bool IsGone() const;
@@ -88,7 +88,7 @@
   Environment& m_environment;
   Table::BackendServer m_server;
   ClaimLedger m_ledger;
-  std::optional<BackendServers::EngineReport> m_report;
+  std::optional<BackendServers::BackendReport> m_report;
   bool m_report_current = false;
   Common::TimePoint m_report_requested_at;
   Common::Incarnation m_fenced_incarnation;
--- a/Source/Core/Serving/ServerControllerOrders.cpp
+++ b/Source/Core/Serving/ServerControllerOrders.cpp
@@ -13,7 +13,7 @@
 {
 namespace
 {
-using BackendServers::EngineOrder;
+using BackendServers::BackendOrder;
 using BackendServers::OrderKind;
 using Common::ArtifactId;
 using Common::ClaimId;
@@ -234,7 +234,7 @@
 Task<Result<Done>> ServerController::OrderLoad(Table::Artifact artifact, Claim claim,
                                                TimePoint checked)
 {
-  EngineOrder order;
+  BackendOrder order;
   order.kind = OrderKind::Load;
   order.artifact = artifact.id;
   order.base = artifact.base;
@@ -384,7 +384,7 @@
       Now() + m_environment.timing.claim_timeout));
   if (!numbered)
     co_return numbered.Reason();
-  EngineOrder order;
+  BackendOrder order;
   order.kind = OrderKind::Unload;
   order.artifact = claim.artifact;
   order.fence = fence;
@@ -400,7 +400,7 @@
 {
   const auto& claims = m_ledger.Row().claims;
   const auto claim = std::ranges::find(claims, id, &Claim::id);
-  const BackendServers::LoadedArtifact* reported =
+  const BackendServers::ReportedArtifact* reported =
       claim == claims.end() ? nullptr : Reported(claim->artifact);
   return reported && (reported->running > 0 || reported->idle < m_environment.timing.min_idle);
 }
--- a/Source/UnitTests/Fuzz.cpp
+++ b/Source/UnitTests/Fuzz.cpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-#include "BackendServers/HttpEngine.h"
+#include "BackendServers/HttpBackendClient.h"
 #include "Callers/Jobs.h"
 #include "Callers/PlainServices.h"
 #include "Common/Random.h"
