--- a/Source/Core/Callers/CallContext.h
+++ b/Source/Core/Callers/CallContext.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "Callers/Answers.h"
+#include "Callers/CallFailure.h"
 #include "Common/Loop.h"
 #include "Common/Metrics.h"
 #include "Http/Server.h"
@@ -18,14 +18,14 @@
 namespace Callers
 {
 /// State shared by all HTTP interfaces for callers.
-struct Gateway
+struct ApiContext
 {
   Serving::Environment& environment;
   Serving::Router& router;
   Common::Metrics& metrics;
   /// Number of open requests per calling service.
-  std::map<Common::ServiceId, std::int64_t> open;
-  Decisions::RetryBudget retries;
+  std::map<Common::ServiceId, std::int64_t> open_requests;
+  Decisions::RetryBudget retry_budget;
   bool stopping = false;
 };
 
@@ -35,33 +35,33 @@
   Common::RequestId request;
   Table::Service service;
   Common::TimePoint arrived;
-  Common::Milliseconds patience{0};
+  Common::Milliseconds timeout{0};
 
-  Common::TimePoint Deadline() const { return arrived + patience; }
-  Common::Milliseconds Left() const
+  Common::TimePoint Deadline() const { return arrived + timeout; }
+  Common::Milliseconds TimeLeft() const
   {
     return std::chrono::duration_cast<Common::Milliseconds>(Deadline() - Common::Now());
   }
 };
 
 /// Counts a request of `service` as open for the lifetime of this object.
-class OpenRequest
+class OpenRequestCounter
 {
 public:
-  OpenRequest(Gateway& gateway, Common::ServiceId service);
-  ~OpenRequest();
-  OpenRequest(const OpenRequest&) = delete;
-  OpenRequest& operator=(const OpenRequest&) = delete;
+  OpenRequestCounter(ApiContext& api_context, Common::ServiceId service);
+  ~OpenRequestCounter();
+  OpenRequestCounter(const OpenRequestCounter&) = delete;
+  OpenRequestCounter& operator=(const OpenRequestCounter&) = delete;
 
 private:
-  Gateway& m_gateway;
+  ApiContext& m_api_context;
   Common::ServiceId m_service;
 };
 
-/// Identifies the calling service and checks its limit of open requests. `fallback` is the timeout
-/// if neither the request (X-Deadline-Ms) nor the service's row in the table sets one; if it is
-/// zero, the table's `deadline_ms` setting applies.
+/// Identifies the calling service and checks its limit of open requests. `default_timeout` is the
+/// timeout if neither the request (X-Deadline-Ms) nor the service's row in the table sets one; if
+/// it is zero, the table's `deadline_ms` setting applies.
 /// Failures: Unauthorized, InvalidInput, Overloaded, Unavailable.
-Common::Result<CallContext> Identify(Gateway& gateway, const Http::Exchange& exchange,
-                                     Common::Milliseconds fallback);
+Common::Result<CallContext> IdentifyCaller(ApiContext& api_context, const Http::Exchange& exchange,
+                                           Common::Milliseconds default_timeout);
 } // namespace Callers
--- a/Source/Core/Callers/Answers.cpp
+++ b/Source/Core/Callers/CallFailure.cpp
@@ -1,7 +1,7 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-#include "Callers/Answers.h"
+#include "Callers/CallFailure.h"
 
 #include <algorithm>
 
@@ -23,13 +23,13 @@
   return "unknown";
 }
 
-CallFailure MakeFailure(FailureKind kind, std::string detail, RunState ran,
+CallFailure MakeFailure(FailureKind kind, std::string detail, RunState run_state,
                         Common::Milliseconds retry_after)
 {
-  return CallFailure{{kind, std::move(detail)}, ran, retry_after};
+  return CallFailure{{kind, std::move(detail)}, run_state, retry_after};
 }
 
-int StatusOf(const CallFailure& failure)
+int HttpStatusOf(const CallFailure& failure)
 {
   switch (failure.failure.kind)
   {
@@ -63,7 +63,7 @@
 {
   Common::Json error = {{"type", Common::ToString(failure.failure.kind)},
                         {"message", failure.failure.detail},
-                        {"ran", ToString(failure.ran)}};
+                        {"ran", ToString(failure.run_state)}};
   if (failure.retry_after.count() > 0)
     error["retry_after_ms"] = failure.retry_after.count();
   return {{"error", error}, {"request_id", request.Get()}};
@@ -72,12 +72,12 @@
 void Refuse(Http::Exchange& exchange, const CallFailure& failure, const Common::RequestId& request)
 {
   Http::Headers headers{{"X-Request-Id", request.Get()},
-                        {"X-Drumpond-Ran", std::string(ToString(failure.ran))}};
+                        {"X-Drumpond-Ran", std::string(ToString(failure.run_state))}};
   if (failure.retry_after.count() > 0)
   {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(failure.retry_after);
     headers["Retry-After"] = std::to_string(seconds.count());
   }
-  exchange.RespondJson(StatusOf(failure), ToJson(failure, request), headers);
+  exchange.RespondJson(HttpStatusOf(failure), ToJson(failure, request), headers);
 }
 } // namespace Callers
--- a/Source/Core/Callers/Answers.h
+++ b/Source/Core/Callers/CallFailure.h
@@ -27,15 +27,15 @@
 struct CallFailure
 {
   Common::Failure failure;
-  RunState ran = RunState::NotRun;
+  RunState run_state = RunState::NotRun;
   Common::Milliseconds retry_after{0};
 };
 
-CallFailure MakeFailure(Common::FailureKind kind, std::string detail, RunState ran,
+CallFailure MakeFailure(Common::FailureKind kind, std::string detail, RunState run_state,
                         Common::Milliseconds retry_after = Common::Milliseconds(0));
 
 /// Returns the HTTP status for a failure.
-int StatusOf(const CallFailure& failure);
+int HttpStatusOf(const CallFailure& failure);
 
 /// Returns the response body:
 /// {"error": {"type", "message", "ran", "retry_after_ms"}, "request_id"}.
--- a/Source/Core/Callers/ChatApi.cpp
+++ b/Source/Core/Callers/ChatApi.cpp
@@ -17,7 +17,7 @@
 using Common::Result;
 using Common::Task;
 
-constexpr std::size_t AFFINITY_BYTES = 256;
+constexpr std::size_t MAX_AFFINITY_BYTES = 256;
 constexpr int STATUS_OK = 200;
 
 /// Returns the beginning of the conversation as routing affinity: requests with the same beginning
@@ -27,21 +27,21 @@
   const Json& messages = Common::GetArray(body, "messages");
   if (messages.empty())
     return {};
-  return GetOr(messages.front(), "content", std::string()).substr(0, AFFINITY_BYTES);
+  return GetOr(messages.front(), "content", std::string()).substr(0, MAX_AFFINITY_BYTES);
 }
 
-void RefuseAndCount(Gateway& gateway, Http::Exchange& exchange, const Failure& failure,
+void RefuseAndCount(ApiContext& api_context, Http::Exchange& exchange, const Failure& failure,
                     const Common::RequestId& request)
 {
   CallFailure refusal{failure, RunState::NotRun};
   if (failure.kind == FailureKind::Overloaded || failure.kind == FailureKind::Unavailable)
     refusal.retry_after = Common::Milliseconds(1000);
-  gateway.metrics.CountRequest("chat", std::string(ToString(failure.kind)));
+  api_context.metrics.CountRequest("chat", std::string(ToString(failure.kind)));
   Refuse(exchange, refusal, request);
 }
 } // namespace
 
-Result<ChatRequest> ParseChat(Gateway& gateway, CallContext context, const std::string& body,
+Result<ChatRequest> ParseChat(ApiContext& api_context, CallContext context, const std::string& body,
                               bool* stream)
 {
   auto json = Common::ParseJson(body);
@@ -53,7 +53,7 @@
   if (!json->contains("messages") || !(*json)["messages"].is_array())
     return {FailureKind::InvalidInput, "\"messages\" must be an array"};
   const Table::Artifact* artifact =
-      gateway.environment.table.Current().Resolve(model, Common::SharedRandom());
+      api_context.environment.table.Current().Resolve(model, Common::SharedRandom());
   if (!artifact)
     return {FailureKind::NotFound, "the table has no model \"" + model + "\""};
   ChatRequest request;
@@ -71,40 +71,40 @@
   if (exchange->Method() != "POST")
   {
     const Failure failure{FailureKind::InvalidInput, "expected POST"};
-    co_return RefuseAndCount(m_gateway, *exchange, failure, {});
+    co_return RefuseAndCount(m_api_context, *exchange, failure, {});
   }
-  auto context = Identify(m_gateway, *exchange, {});
+  auto context = IdentifyCaller(m_api_context, *exchange, {});
   if (!context)
-    co_return RefuseAndCount(m_gateway, *exchange, context.Reason(), {});
+    co_return RefuseAndCount(m_api_context, *exchange, context.Reason(), {});
   bool stream = false;
-  auto request = ParseChat(m_gateway, *context, exchange->Body(), &stream);
+  auto request = ParseChat(m_api_context, *context, exchange->Body(), &stream);
   if (!request)
-    co_return RefuseAndCount(m_gateway, *exchange, request.Reason(), context->request);
+    co_return RefuseAndCount(m_api_context, *exchange, request.Reason(), context->request);
   if (exchange->Header("x-deadline-ms").empty() && request->artifact.deadline.count() > 0)
-    request->context.patience = request->artifact.deadline;
-  const OpenRequest open(m_gateway, context->service.id);
+    request->context.timeout = request->artifact.deadline;
+  const OpenRequestCounter open(m_api_context, context->service.id);
   if (stream)
-    co_return co_await m_relay.RunStream(std::move(*request), exchange);
-  auto answer = co_await m_relay.RunWhole(std::move(*request));
-  if (const auto* failure = std::get_if<CallFailure>(&answer))
+    co_return co_await m_relay.StreamResponse(std::move(*request), exchange);
+  auto result = co_await m_relay.FetchResponse(std::move(*request));
+  if (const auto* failure = std::get_if<CallFailure>(&result))
   {
-    m_gateway.metrics.CountRequest("chat", std::string(ToString(failure->failure.kind)));
+    m_api_context.metrics.CountRequest("chat", std::string(ToString(failure->failure.kind)));
     co_return Refuse(*exchange, *failure, context->request);
   }
-  m_gateway.metrics.CountRequest("chat", "ok");
-  ChatAnswer& whole = std::get<ChatAnswer>(answer);
+  m_api_context.metrics.CountRequest("chat", "ok");
+  ChatResponse& response = std::get<ChatResponse>(result);
   const Http::Headers headers{{"X-Request-Id", context->request.Get()},
-                              {"X-Drumpond-Server", whole.server.Get()}};
-  exchange->Respond(STATUS_OK, "application/json", std::move(whole.body), headers);
+                              {"X-Drumpond-Server", response.server.Get()}};
+  exchange->Respond(STATUS_OK, "application/json", std::move(response.body), headers);
 }
 
 Task<void> ChatApi::ListModels(Http::ExchangePtr exchange)
 {
-  auto context = Identify(m_gateway, *exchange, {});
+  auto context = IdentifyCaller(m_api_context, *exchange, {});
   if (!context)
-    co_return RefuseAndCount(m_gateway, *exchange, context.Reason(), {});
+    co_return RefuseAndCount(m_api_context, *exchange, context.Reason(), {});
   Json models = Json::array();
-  for (const std::string& name : m_gateway.environment.table.Current().ModelNames())
+  for (const std::string& name : m_api_context.environment.table.Current().ModelNames())
     models.push_back({{"id", name}, {"object", "model"}, {"owned_by", "drumpond"}});
   const Json body = {{"object", "list"}, {"data", models}};
   exchange->RespondJson(STATUS_OK, body);
--- a/Source/Core/Callers/ChatRelay.h
+++ b/Source/Core/Callers/ChatRelay.h
@@ -23,7 +23,7 @@
 };
 
 /// A complete response.
-struct ChatAnswer
+struct ChatResponse
 {
   std::string body;
   Common::VmId server;
@@ -35,11 +35,11 @@
 class ChatRelay
 {
 public:
-  explicit ChatRelay(Gateway& gateway) : m_gateway(gateway) {}
+  explicit ChatRelay(ApiContext& api_context) : m_api_context(api_context) {}
 
-  Common::Task<std::variant<ChatAnswer, CallFailure>> RunWhole(ChatRequest request);
+  Common::Task<std::variant<ChatResponse, CallFailure>> FetchResponse(ChatRequest request);
   /// Streams the response to the caller. On failure, sends the error to the caller as well.
-  Common::Task<void> RunStream(ChatRequest request, Http::ExchangePtr exchange);
+  Common::Task<void> StreamResponse(ChatRequest request, Http::ExchangePtr exchange);
 
 private:
   struct Opened
@@ -49,22 +49,22 @@
   };
   using Attempt = std::variant<Opened, CallFailure>;
   /// The attempts made for one request so far.
-  struct History
+  struct AttemptHistory
   {
     int attempts = 0;
     std::set<Common::VmId> failed;
   };
 
   /// Routes and sends the request until a backend server starts a response with this request's id.
-  Common::Task<Attempt> Open(ChatRequest request, History* history);
+  Common::Task<Attempt> Open(ChatRequest request, AttemptHistory* history);
   /// Returns whether another attempt is allowed. If so, consumes a token of the retry budget.
-  bool MayRetry(const CallContext& context, const History& history);
-  Common::Task<std::variant<std::string, CallFailure>> ReadWhole(Http::ResponseStream& stream,
-                                                                 CallContext context);
-  Common::Task<void> Relay(Http::ResponseStream& stream, std::string first, CallContext context,
-                           Http::ExchangePtr exchange);
-  Common::Milliseconds StallPatience() const;
+  bool MayRetry(const CallContext& context, const AttemptHistory& history);
+  Common::Task<std::variant<std::string, CallFailure>>
+  ReadCompleteResponse(Http::ResponseStream& stream, CallContext context);
+  Common::Task<void> ForwardStream(Http::ResponseStream& stream, std::string first,
+                                   CallContext context, Http::ExchangePtr exchange);
+  Common::Milliseconds StallTimeout() const;
 
-  Gateway& m_gateway;
+  ApiContext& m_api_context;
 };
 } // namespace Callers
--- a/Source/Core/Callers/Jobs.cpp
+++ b/Source/Core/Callers/Jobs.cpp
@@ -27,13 +27,13 @@
 using Common::Task;
 using Daemons::HolderStatus;
 
-constexpr std::size_t ID_DIGITS = 32;
-constexpr int SHARDS = 16;
+constexpr std::size_t JOB_ID_DIGITS = 32;
+constexpr int SHARD_COUNT = 16;
 constexpr std::int64_t JOB_DEADLINE_MS = 600000;
-constexpr Milliseconds STORE_PATIENCE{5000};
-constexpr Milliseconds RETRY_PAUSE{500};
-constexpr Milliseconds MAX_RETRY_PAUSE{10000};
-constexpr std::size_t MAX_RUNNING = 64;
+constexpr Milliseconds STORE_TIMEOUT{5000};
+constexpr Milliseconds INITIAL_RETRY_DELAY{500};
+constexpr Milliseconds MAX_RETRY_DELAY{10000};
+constexpr std::size_t MAX_RUNNING_JOBS = 64;
 constexpr int STATUS_OK = 200;
 constexpr int STATUS_ACCEPTED = 202;
 
@@ -44,17 +44,17 @@
 
 int ShardOf(const std::string& id)
 {
-  return static_cast<int>(XXH3_64bits(id.data(), id.size()) % SHARDS);
+  return static_cast<int>(XXH3_64bits(id.data(), id.size()) % SHARD_COUNT);
 }
 
-std::string OpenPrefix(int shard)
+std::string OpenJobsPrefix(int shard)
 {
   return "job-open/" + std::to_string(shard) + "/";
 }
 
-std::string OpenKey(const std::string& id)
+std::string OpenJobKey(const std::string& id)
 {
-  return OpenPrefix(ShardOf(id)) + id;
+  return OpenJobsPrefix(ShardOf(id)) + id;
 }
 
 std::string RequestObject(const std::string& id)
@@ -88,10 +88,10 @@
   if (key.empty())
     return Common::NewId("j-");
   const std::string text = service.Get() + "\n" + key;
-  return "j-" + Common::Sha256Hex(text).substr(0, ID_DIGITS);
+  return "j-" + Common::Sha256Hex(text).substr(0, JOB_ID_DIGITS);
 }
 
-Json Describe(const Job& job)
+Json StatusAsJson(const Job& job)
 {
   Json json = {{"id", job.id}, {"state", ToString(job.state)}, {"attempt", job.attempt}};
   if (!job.error.empty())
@@ -99,9 +99,10 @@
   return json;
 }
 
-void Fail(Http::Exchange& exchange, const Failure& failure, RunState ran = RunState::NotRun)
+void RespondWithFailure(Http::Exchange& exchange, const Failure& failure,
+                        RunState run_state = RunState::NotRun)
 {
-  CallFailure refusal{failure, ran};
+  CallFailure refusal{failure, run_state};
   if (failure.kind == FailureKind::Unavailable)
     refusal.retry_after = Milliseconds(5000);
   Refuse(exchange, refusal, {});
@@ -143,8 +144,8 @@
   return job;
 }
 
-Jobs::Jobs(Gateway& gateway, ChatRelay& relay, Milliseconds scan_interval)
-    : m_gateway(gateway), m_relay(relay), m_scan_interval(scan_interval)
+Jobs::Jobs(ApiContext& api_context, ChatRelay& relay, Milliseconds scan_interval)
+    : m_api_context(api_context), m_relay(relay), m_scan_interval(scan_interval)
 {
 }
 
@@ -162,7 +163,7 @@
   if (exchange->Method() != "GET" || rest.size() < 2)
   {
     const Failure failure{FailureKind::NotFound, "expected POST /v1/jobs or GET /v1/jobs/ID"};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   rest.erase(0, 1);
   const bool result = rest.ends_with("/result");
@@ -173,20 +174,20 @@
 
 Task<void> Jobs::Submit(Http::ExchangePtr exchange)
 {
-  auto context = Identify(m_gateway, *exchange, Milliseconds(JOB_DEADLINE_MS));
+  auto context = IdentifyCaller(m_api_context, *exchange, Milliseconds(JOB_DEADLINE_MS));
   if (!context)
-    co_return Fail(*exchange, context.Reason());
-  if (m_gateway.stopping)
+    co_return RespondWithFailure(*exchange, context.Reason());
+  if (m_api_context.stopping)
   {
     const Failure failure{FailureKind::Stopping, "this daemon is stopping"};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   bool stream = false;
-  const auto parsed = ParseChat(m_gateway, *context, exchange->Body(), &stream);
+  const auto parsed = ParseChat(m_api_context, *context, exchange->Body(), &stream);
   if (!parsed)
-    co_return Fail(*exchange, parsed.Reason());
-  auto& store = m_gateway.environment.store;
-  const auto& self = m_gateway.environment.membership.Self();
+    co_return RespondWithFailure(*exchange, parsed.Reason());
+  auto& store = m_api_context.environment.store;
+  const auto& self = m_api_context.environment.membership.Self();
   Job job;
   job.id = JobId(context->service.id, exchange->Header("idempotency-key"));
   job.service = context->service.id;
@@ -197,22 +198,22 @@
   if (!stored)
   {
     const Failure failure{FailureKind::Unavailable, "the job cannot be stored now"};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   Platform::Transaction transaction;
   transaction.conditions.push_back({JobKey(job.id), 0});
   transaction.writes.push_back({JobKey(job.id), SerializeJob(job)});
-  transaction.writes.push_back({OpenKey(job.id), "1"});
-  const auto outcome = co_await store.Commit(transaction, Now() + STORE_PATIENCE);
+  transaction.writes.push_back({OpenJobKey(job.id), "1"});
+  const auto outcome = co_await store.Commit(transaction, Now() + STORE_TIMEOUT);
   if (!outcome)
   {
     const bool unsent = outcome.Reason().kind == FailureKind::NotSent;
     const Failure failure{FailureKind::Unavailable, "the job cannot be stored now"};
-    co_return Fail(*exchange, failure, unsent ? RunState::NotRun : RunState::Unknown);
+    co_return RespondWithFailure(*exchange, failure, unsent ? RunState::NotRun : RunState::Unknown);
   }
-  const Json answer = {{"id", job.id}, {"state", "open"}};
-  exchange->RespondJson(STATUS_ACCEPTED, answer);
-  m_gateway.metrics.CountRequest("job", outcome->committed ? "ok" : "known");
+  const Json response = {{"id", job.id}, {"state", "open"}};
+  exchange->RespondJson(STATUS_ACCEPTED, response);
+  m_api_context.metrics.CountRequest("job", outcome->committed ? "ok" : "known");
   if (!outcome->committed)
     co_return;
   LogEvent(LogLevel::Info, "job.accepted", {{"job", job.id}, {"request", context->request}});
@@ -221,33 +222,33 @@
 
 Task<void> Jobs::LookUp(Http::ExchangePtr exchange, std::string id, bool result)
 {
-  auto context = Identify(m_gateway, *exchange, {});
+  auto context = IdentifyCaller(m_api_context, *exchange, {});
   if (!context)
-    co_return Fail(*exchange, context.Reason());
-  auto& store = m_gateway.environment.store;
+    co_return RespondWithFailure(*exchange, context.Reason());
+  auto& store = m_api_context.environment.store;
   const auto row = co_await store.ReadOne(JobKey(id));
   if (!row)
   {
     const Failure failure{FailureKind::Unavailable, "the platform does not respond"};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   const auto job = ParseJob(row->value);
   // A caller must not learn that a job of another service exists.
   if (!job || job->service != context->service.id)
   {
     const Failure failure{FailureKind::NotFound, "no job " + id};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   if (!result)
-    co_return exchange->RespondJson(STATUS_OK, Describe(*job));
+    co_return exchange->RespondJson(STATUS_OK, StatusAsJson(*job));
   if (job->state != JobState::Done)
   {
     const Failure failure{FailureKind::Conflict, "the job is " + std::string(ToString(job->state))};
-    co_return Fail(*exchange, failure, RunState::Unknown);
+    co_return RespondWithFailure(*exchange, failure, RunState::Unknown);
   }
   auto content = co_await store.GetObject(job->result_key);
   if (!content)
-    co_return Fail(*exchange, content.Reason(), RunState::Ran);
+    co_return RespondWithFailure(*exchange, content.Reason(), RunState::Ran);
   exchange->Respond(STATUS_OK, "application/json", std::move(*content));
 }
 
@@ -256,13 +257,13 @@
   while (true)
   {
     co_await Common::Sleep{m_scan_interval};
-    if (m_gateway.stopping || !m_gateway.environment.table.HasTable())
+    if (m_api_context.stopping || !m_api_context.environment.table.HasTable())
       continue;
-    const auto live = m_gateway.environment.membership.LiveEverywhere(Now());
-    for (int shard = 0; shard < SHARDS; ++shard)
+    const auto live = m_api_context.environment.membership.LiveEverywhere(Now());
+    for (int shard = 0; shard < SHARD_COUNT; ++shard)
     {
       const auto owner = Decisions::PickByRendezvous("jobs/" + std::to_string(shard), live);
-      if (owner == m_gateway.environment.Self())
+      if (owner == m_api_context.environment.Self())
         co_await ScanShard(shard);
     }
   }
@@ -270,30 +271,30 @@
 
 Task<void> Jobs::ScanShard(int shard)
 {
-  const std::string prefix = OpenPrefix(shard);
-  const auto rows = co_await m_gateway.environment.store.List(prefix);
+  const std::string prefix = OpenJobsPrefix(shard);
+  const auto rows = co_await m_api_context.environment.store.List(prefix);
   if (!rows)
     co_return;
   for (const Platform::StoredRow& row : *rows)
   {
     const std::string id = row.key.substr(prefix.size());
-    if (m_running.size() < MAX_RUNNING && !m_running.contains(id))
-      co_await Consider(id);
+    if (m_running.size() < MAX_RUNNING_JOBS && !m_running.contains(id))
+      co_await TryTakeOver(id);
   }
 }
 
 /// Takes over an open job unless a live daemon that is not stopping holds it. Also resumes a job
 /// that this VM holds but does not run. An unresponsive holder may still finish the job: then one
 /// of the two commits fails, and there is still only one result.
-Task<void> Jobs::Consider(std::string id)
+Task<void> Jobs::TryTakeOver(std::string id)
 {
-  const auto row = co_await m_gateway.environment.store.ReadOne(JobKey(id));
+  const auto row = co_await m_api_context.environment.store.ReadOne(JobKey(id));
   if (!row)
     co_return;
   auto job = ParseJob(row->value);
   if (!job || job->state != JobState::Open || m_running.contains(id))
     co_return;
-  const auto& membership = m_gateway.environment.membership;
+  const auto& membership = m_api_context.environment.membership;
   Common::TimePoint since;
   const auto status = membership.StatusOf(job->holder, job->holder_incarnation, Now(), &since);
   const auto* peer = membership.Find(job->holder);
@@ -308,7 +309,7 @@
   transaction.conditions.push_back({JobKey(id), row->version});
   transaction.writes.push_back({JobKey(id), SerializeJob(*job)});
   const auto outcome =
-      co_await m_gateway.environment.store.Commit(transaction, Now() + STORE_PATIENCE);
+      co_await m_api_context.environment.store.Commit(transaction, Now() + STORE_TIMEOUT);
   if (!outcome || !outcome->committed)
     co_return;
   LogEvent(LogLevel::Info, "job.taken_over", {{"job", id}, {"attempt", job->attempt}});
@@ -319,47 +320,47 @@
 {
   if (!m_running.insert(job.id).second)
     co_return;
-  Milliseconds pause = RETRY_PAUSE;
-  while (!m_gateway.stopping)
+  Milliseconds delay = INITIAL_RETRY_DELAY;
+  while (!m_api_context.stopping)
   {
-    const bool ended = co_await RunOnce(job, version);
+    const bool ended = co_await RunAttempt(job, version);
     if (ended)
       break;
-    co_await Common::Sleep{pause};
-    pause = std::min(pause * 2, MAX_RETRY_PAUSE);
+    co_await Common::Sleep{delay};
+    delay = std::min(delay * 2, MAX_RETRY_DELAY);
   }
   m_running.erase(job.id);
 }
 
-Task<std::variant<ChatAnswer, CallFailure>> Jobs::Complete(Job job, std::string body)
+Task<std::variant<ChatResponse, CallFailure>> Jobs::Complete(Job job, std::string body)
 {
   CallContext context;
   context.request =
       Common::RequestId(job.id + "." + std::to_string(job.attempt) + Common::NewId("."));
-  const auto* service = m_gateway.environment.table.Current().FindService(job.service);
+  const auto* service = m_api_context.environment.table.Current().FindService(job.service);
   if (service)
     context.service = *service;
   context.service.id = job.service;
   context.arrived = Now();
-  context.patience = Milliseconds(JOB_DEADLINE_MS);
+  context.timeout = Milliseconds(JOB_DEADLINE_MS);
   bool stream = false;
   auto json = Common::ParseJson(body).value_or(Json::object());
   json["stream"] = false;
-  auto request = ParseChat(m_gateway, context, Common::DumpJson(json), &stream);
+  auto request = ParseChat(m_api_context, context, Common::DumpJson(json), &stream);
   if (!request)
     co_return CallFailure{request.Reason(), RunState::NotRun};
-  co_return co_await m_relay.RunWhole(std::move(*request));
+  co_return co_await m_relay.FetchResponse(std::move(*request));
 }
 
 /// Returns true if the job has ended or another daemon has taken it over.
-Task<bool> Jobs::RunOnce(Job job, std::int64_t version)
+Task<bool> Jobs::RunAttempt(Job job, std::int64_t version)
 {
-  auto& store = m_gateway.environment.store;
+  auto& store = m_api_context.environment.store;
   auto body = co_await store.GetObject(RequestObject(job.id));
   if (!body)
     co_return false;
-  auto answer = co_await Complete(job, std::move(*body));
-  if (const auto* failure = std::get_if<CallFailure>(&answer))
+  auto response = co_await Complete(job, std::move(*body));
+  if (const auto* failure = std::get_if<CallFailure>(&response))
   {
     LogEvent(LogLevel::Warning, "job.attempt_failed",
              {{"job", job.id}, {"reason", failure->failure.detail}});
@@ -369,25 +370,25 @@
       co_return false;
     job.state = JobState::Failed;
     job.error = failure->failure.detail;
-    co_return co_await Finish(job, version);
+    co_return co_await CommitFinalState(job, version);
   }
   const std::string key = ResultObject(job);
-  const auto stored = co_await store.PutObject(key, std::get<ChatAnswer>(answer).body);
+  const auto stored = co_await store.PutObject(key, std::get<ChatResponse>(response).body);
   if (!stored)
     co_return false;
   job.state = JobState::Done;
   job.result_key = key;
-  co_return co_await Finish(job, version);
+  co_return co_await CommitFinalState(job, version);
 }
 
-Task<bool> Jobs::Finish(Job job, std::int64_t version)
+Task<bool> Jobs::CommitFinalState(Job job, std::int64_t version)
 {
   Platform::Transaction transaction;
   transaction.conditions.push_back({JobKey(job.id), version});
   transaction.writes.push_back({JobKey(job.id), SerializeJob(job)});
-  transaction.writes.push_back({OpenKey(job.id), std::nullopt});
+  transaction.writes.push_back({OpenJobKey(job.id), std::nullopt});
   const auto outcome =
-      co_await m_gateway.environment.store.Commit(transaction, Now() + STORE_PATIENCE);
+      co_await m_api_context.environment.store.Commit(transaction, Now() + STORE_TIMEOUT);
   if (!outcome)
     co_return false;
   LogEvent(LogLevel::Info, outcome->committed ? "job.ended" : "job.lost",
--- a/Source/Core/Callers/Jobs.h
+++ b/Source/Core/Callers/Jobs.h
@@ -41,7 +41,7 @@
 class Jobs
 {
 public:
-  Jobs(Gateway& gateway, ChatRelay& relay, Common::Milliseconds scan_interval);
+  Jobs(ApiContext& api_context, ChatRelay& relay, Common::Milliseconds scan_interval);
 
   /// Starts the periodic scan for jobs that no daemon is running.
   void Start();
@@ -56,13 +56,13 @@
   Common::Task<void> LookUp(Http::ExchangePtr exchange, std::string id, bool result);
   Common::Task<void> Scan();
   Common::Task<void> ScanShard(int shard);
-  Common::Task<void> Consider(std::string id);
+  Common::Task<void> TryTakeOver(std::string id);
   Common::Task<void> Run(Job job, std::int64_t version);
-  Common::Task<bool> RunOnce(Job job, std::int64_t version);
-  Common::Task<bool> Finish(Job job, std::int64_t version);
-  Common::Task<std::variant<ChatAnswer, CallFailure>> Complete(Job job, std::string body);
+  Common::Task<bool> RunAttempt(Job job, std::int64_t version);
+  Common::Task<bool> CommitFinalState(Job job, std::int64_t version);
+  Common::Task<std::variant<ChatResponse, CallFailure>> Complete(Job job, std::string body);
 
-  Gateway& m_gateway;
+  ApiContext& m_api_context;
   ChatRelay& m_relay;
   Common::Milliseconds m_scan_interval;
   std::set<std::string> m_running;
--- a/Source/Core/Callers/PlainServices.cpp
+++ b/Source/Core/Callers/PlainServices.cpp
@@ -27,44 +27,44 @@
 
 constexpr std::string_view PREFIX = "/services/";
 constexpr std::size_t MAX_KEY = 200;
-constexpr Milliseconds STORE_PATIENCE{3000};
-constexpr std::chrono::minutes SETTLE_PATIENCE{10};
+constexpr Milliseconds STORE_TIMEOUT{3000};
+constexpr std::chrono::minutes LATE_STORE_TIMEOUT{10};
 constexpr Milliseconds RETRY_AFTER{1000};
 constexpr int STATUS_UNAVAILABLE = 503;
 
-std::string_view ToString(OnceState state)
+std::string_view ToString(IdempotencyState state)
 {
   switch (state)
   {
-  case OnceState::Started:
+  case IdempotencyState::Started:
     return "started";
-  case OnceState::Done:
+  case IdempotencyState::Done:
     return "done";
-  case OnceState::NotRun:
+  case IdempotencyState::NotRun:
     return "not_run";
-  case OnceState::Unknown:
+  case IdempotencyState::Unknown:
     return "unknown";
   }
   return "unknown";
 }
 
-OnceState ParseState(const std::string& text)
+IdempotencyState ParseState(const std::string& text)
 {
   if (text == "started")
-    return OnceState::Started;
+    return IdempotencyState::Started;
   if (text == "done")
-    return OnceState::Done;
-  return text == "not_run" ? OnceState::NotRun : OnceState::Unknown;
+    return IdempotencyState::Done;
+  return text == "not_run" ? IdempotencyState::NotRun : IdempotencyState::Unknown;
 }
 
-std::string OnceKey(const Common::ServiceId& caller, const std::string& service,
-                    const std::string& key)
+std::string IdempotencyRecordKey(const Common::ServiceId& caller, const std::string& service,
+                                 const std::string& key)
 {
   return "once/" + caller.Get() + "/" + service + "/" + Common::Sha256Hex(key);
 }
 
 /// Identifies the content of a call, to detect a key that is reused for a different call.
-std::string BodyHash(const std::string& method, const std::string& path, const std::string& body)
+std::string CallHash(const std::string& method, const std::string& path, const std::string& body)
 {
   return Common::Sha256Hex(method + path + "\n" + body);
 }
@@ -76,7 +76,7 @@
 }
 } // namespace
 
-std::string SerializeRecord(const OnceRecord& record)
+std::string SerializeRecord(const IdempotencyRecord& record)
 {
   const Json json = {{"state", ToString(record.state)},
                      {"body_hash", record.body_hash},
@@ -88,12 +88,12 @@
   return Common::DumpJson(json);
 }
 
-std::optional<OnceRecord> ParseRecord(const std::string& text)
+std::optional<IdempotencyRecord> ParseRecord(const std::string& text)
 {
   const auto json = Common::ParseJson(text);
   if (!json || !json->is_object())
     return std::nullopt;
-  OnceRecord record;
+  IdempotencyRecord record;
   record.state = ParseState(GetOr(*json, "state", std::string()));
   record.body_hash = GetOr(*json, "body_hash", std::string());
   record.holder = Common::VmId(GetOr(*json, "holder", std::string()));
@@ -110,8 +110,10 @@
   const std::string rest = exchange.Path().substr(std::min(PREFIX.size(), exchange.Path().size()));
   const auto slash = rest.find('/');
   const std::string name = rest.substr(0, slash);
-  const Table::PlainService* service = m_gateway.environment.table.Current().FindPlainService(name);
-  auto context = Identify(m_gateway, exchange, service ? service->deadline : Milliseconds(0));
+  const Table::PlainService* service =
+      m_api_context.environment.table.Current().FindPlainService(name);
+  auto context =
+      IdentifyCaller(m_api_context, exchange, service ? service->deadline : Milliseconds(0));
   if (!context)
     return context.Reason();
   if (!service)
@@ -125,7 +127,8 @@
   call.content_type = exchange.Header("content-type");
   call.key = exchange.Header("idempotency-key");
   const bool reads = call.method == "GET" || call.method == "HEAD";
-  call.repeatable = reads || m_gateway.environment.table.Current().IsRepeatable(name, call.path);
+  call.repeatable =
+      reads || m_api_context.environment.table.Current().IsRepeatable(name, call.path);
   if (!call.repeatable && (call.key.empty() || call.key.size() > MAX_KEY))
     return {FailureKind::InvalidInput,
             "this call is not repeatable and requires an Idempotency-Key of 1 to 200 characters"};
@@ -138,31 +141,31 @@
   if (!call)
   {
     const CallFailure refusal{call.Reason(), RunState::NotRun};
-    m_gateway.metrics.CountRequest("service", std::string(ToString(call.Reason().kind)));
+    m_api_context.metrics.CountRequest("service", std::string(ToString(call.Reason().kind)));
     co_return Refuse(*exchange, refusal, {});
   }
-  const OpenRequest open(m_gateway, call->context.service.id);
+  const OpenRequestCounter open(m_api_context, call->context.service.id);
   Outcome outcome = MakeFailure(FailureKind::Unavailable, "", RunState::NotRun);
   if (call->repeatable)
     outcome = co_await RunRepeatable(*call);
   else
-    outcome = co_await RunOnce(*call);
+    outcome = co_await RunAtMostOnce(*call);
   if (const auto* failure = std::get_if<CallFailure>(&outcome))
   {
-    m_gateway.metrics.CountRequest("service", std::string(ToString(failure->failure.kind)));
+    m_api_context.metrics.CountRequest("service", std::string(ToString(failure->failure.kind)));
     co_return Refuse(*exchange, *failure, call->context.request);
   }
-  m_gateway.metrics.CountRequest("service", "ok");
-  Answer& answer = std::get<Answer>(outcome);
+  m_api_context.metrics.CountRequest("service", "ok");
+  Response& response = std::get<Response>(outcome);
   const Http::Headers headers{{"X-Request-Id", call->context.request.Get()},
-                              {"X-Drumpond-Server", answer.server.Get()}};
-  exchange->Respond(answer.status, answer.content_type, std::move(answer.body), headers);
+                              {"X-Drumpond-Server", response.server.Get()}};
+  exchange->Respond(response.status, response.content_type, std::move(response.body), headers);
 }
 
 /// The servers of the pool that take work, this data centre's first, in an order of this request.
-std::vector<Table::BackendServer> PlainServices::ServersFor(const Call& call) const
+std::vector<Table::BackendServer> PlainServices::CandidateServers(const Call& call) const
 {
-  const auto& environment = m_gateway.environment;
+  const auto& environment = m_api_context.environment;
   std::vector<Table::BackendServer> servers;
   for (const auto& [vm, server] : environment.table.Current().BackendServers())
     if (server.pool == call.service.pool && !environment.server_statuses.IsLeaving(vm))
@@ -186,124 +189,127 @@
   forward.path = call.path;
   forward.body = call.body;
   forward.request = call.context.request;
-  forward.timeout = call.context.Left();
+  forward.timeout = call.context.TimeLeft();
   forward.repeatable = call.repeatable;
   if (!call.key.empty())
     forward.headers["Idempotency-Key"] = call.key;
-  auto opened = co_await m_gateway.environment.engine.Forward(std::move(forward));
+  auto opened = co_await m_api_context.environment.engine.Forward(std::move(forward));
   if (!opened)
   {
     const bool unsent = opened.Reason().kind == FailureKind::NotSent;
-    m_gateway.metrics.CountAttempt(unsent ? "not_sent" : "broken");
+    m_api_context.metrics.CountAttempt(unsent ? "not_sent" : "broken");
     co_return CallFailure{opened.Reason(), unsent ? RunState::NotRun : RunState::Unknown,
                           RETRY_AFTER};
   }
   Http::ResponseStream& stream = **opened;
   if (stream.Status() == STATUS_UNAVAILABLE && HeaderOf(stream.GetHeaders(), "x-ran") == "not_run")
   {
-    m_gateway.metrics.CountAttempt("declined");
+    m_api_context.metrics.CountAttempt("declined");
     co_return MakeFailure(FailureKind::Unavailable, "the backend server rejected the call",
                           RunState::NotRun, RETRY_AFTER);
   }
   if (HeaderOf(stream.GetHeaders(), "x-request-id") != call.context.request.Get())
   {
-    m_gateway.metrics.CountAttempt("crossed");
+    m_api_context.metrics.CountAttempt("crossed");
     co_return MakeFailure(FailureKind::Protocol,
                           "the backend server responded to a different request", RunState::Unknown);
   }
-  Answer answer;
-  answer.status = stream.Status();
-  answer.content_type = HeaderOf(stream.GetHeaders(), "content-type");
-  answer.server = server.vm;
+  Response response;
+  response.status = stream.Status();
+  response.content_type = HeaderOf(stream.GetHeaders(), "content-type");
+  response.server = server.vm;
   while (true)
   {
-    auto chunk = co_await stream.Read(call.context.Left());
+    auto chunk = co_await stream.Read(call.context.TimeLeft());
     if (!chunk)
     {
-      m_gateway.metrics.CountAttempt("broken");
+      m_api_context.metrics.CountAttempt("broken");
       co_return CallFailure{chunk.Reason(), RunState::Unknown};
     }
     if (chunk->empty())
       break;
-    answer.body += *chunk;
+    response.body += *chunk;
   }
-  m_gateway.metrics.CountAttempt("ok");
-  co_return answer;
+  m_api_context.metrics.CountAttempt("ok");
+  co_return response;
 }
 
 Task<PlainServices::Outcome> PlainServices::RunRepeatable(Call call)
 {
-  m_gateway.retries.OnRequest();
+  m_api_context.retry_budget.OnRequest();
   Outcome last =
       MakeFailure(FailureKind::Unavailable, "no backend server of the service accepts requests",
                   RunState::NotRun, RETRY_AFTER);
-  for (const Table::BackendServer& server : ServersFor(call))
+  for (const Table::BackendServer& server : CandidateServers(call))
   {
     last = co_await Send(call, server);
-    if (std::holds_alternative<Answer>(last))
+    if (std::holds_alternative<Response>(last))
       co_return last;
-    if (call.context.Left().count() <= 0 || !m_gateway.retries.TrySpend())
+    if (call.context.TimeLeft().count() <= 0 || !m_api_context.retry_budget.TrySpend())
       break;
   }
   co_return last;
 }
 
 /// Tries another server only if the previous one certainly did not execute the call.
-Task<PlainServices::Outcome> PlainServices::SendOnce(Call call)
+Task<PlainServices::Outcome> PlainServices::SendAtMostOnce(Call call)
 {
   Outcome last =
       MakeFailure(FailureKind::Unavailable, "no backend server of the service accepts requests",
                   RunState::NotRun, RETRY_AFTER);
-  for (const Table::BackendServer& server : ServersFor(call))
+  for (const Table::BackendServer& server : CandidateServers(call))
   {
     // If this process was suspended, the deadline may have passed. The caller has given up by then,
     // so nothing is sent.
-    if (call.context.Left().count() <= 0)
+    if (call.context.TimeLeft().count() <= 0)
       co_return MakeFailure(FailureKind::DeadlineUnmeetable,
                             "the deadline passed before the call was sent", RunState::NotRun,
                             RETRY_AFTER);
     last = co_await Send(call, server);
     const auto* failure = std::get_if<CallFailure>(&last);
-    if (!failure || failure->ran != RunState::NotRun)
+    if (!failure || failure->run_state != RunState::NotRun)
       co_return last;
   }
   co_return last;
 }
 
-Task<PlainServices::Outcome> PlainServices::RunOnce(Call call)
+Task<PlainServices::Outcome> PlainServices::RunAtMostOnce(Call call)
 {
-  const std::string key = OnceKey(call.context.service.id, call.service.name, call.key);
-  if (!m_active.insert(key).second)
+  const std::string key =
+      IdempotencyRecordKey(call.context.service.id, call.service.name, call.key);
+  if (!m_pending_keys.insert(key).second)
     co_return MakeFailure(FailureKind::Conflict, "a call with this key is under way",
                           RunState::Unknown, RETRY_AFTER);
-  Beginning beginning = co_await Begin(call);
-  const auto* started = std::get_if<Started>(&beginning);
+  StartResult start_result = co_await StartCall(call);
+  const auto* started = std::get_if<Started>(&start_result);
   if (!started)
-    m_active.erase(key);
-  if (auto* answer = std::get_if<Answer>(&beginning))
-    co_return std::move(*answer);
-  if (const auto* failure = std::get_if<CallFailure>(&beginning))
+    m_pending_keys.erase(key);
+  if (auto* response = std::get_if<Response>(&start_result))
+    co_return std::move(*response);
+  if (const auto* failure = std::get_if<CallFailure>(&start_result))
     co_return *failure;
-  Outcome outcome = co_await SendOnce(call);
-  const bool settled = co_await Settle(call, started->version, outcome);
-  if (settled)
-    m_active.erase(key);
+  Outcome outcome = co_await SendAtMostOnce(call);
+  const bool stored = co_await StoreOutcome(call, started->version, outcome);
+  if (stored)
+    m_pending_keys.erase(key);
   co_return outcome;
 }
 
-Task<PlainServices::Beginning> PlainServices::WriteStarted(Call call, std::int64_t seen)
+Task<PlainServices::StartResult> PlainServices::WriteStartedRecord(Call call, std::int64_t seen)
 {
-  const auto& self = m_gateway.environment.membership.Self();
-  OnceRecord record;
-  record.body_hash = BodyHash(call.method, call.path, call.body);
+  const auto& self = m_api_context.environment.membership.Self();
+  IdempotencyRecord record;
+  record.body_hash = CallHash(call.method, call.path, call.body);
   record.holder = self.vm;
   record.holder_incarnation = self.incarnation;
-  const std::string key = OnceKey(call.context.service.id, call.service.name, call.key);
+  const std::string key =
+      IdempotencyRecordKey(call.context.service.id, call.service.name, call.key);
   Platform::Transaction transaction;
   transaction.conditions.push_back({key, seen});
   transaction.writes.push_back({key, SerializeRecord(record)});
-  const auto patience = std::min(STORE_PATIENCE, call.context.Left());
-  const auto outcome = co_await m_gateway.environment.store.Commit(transaction, Now() + patience);
+  const auto timeout = std::min(STORE_TIMEOUT, call.context.TimeLeft());
+  const auto outcome =
+      co_await m_api_context.environment.store.Commit(transaction, Now() + timeout);
   // If the response was lost, the record may have been written nevertheless. This request sends
   // nothing in that case, so it was not executed, whatever a retry with the same key is told.
   if (!outcome)
@@ -323,37 +329,37 @@
   if (earlier->body_hash != record.body_hash)
     co_return MakeFailure(FailureKind::Conflict, "this key was already used for a different call",
                           RunState::NotRun);
-  co_return co_await BeginAgain(call, *earlier, row.version);
+  co_return co_await HandleExistingRecord(call, *earlier, row.version);
 }
 
-Task<PlainServices::Beginning> PlainServices::Begin(Call call)
+Task<PlainServices::StartResult> PlainServices::StartCall(Call call)
 {
-  if (m_gateway.environment.store.IsDown())
+  if (m_api_context.environment.store.IsDown())
     co_return MakeFailure(FailureKind::Unavailable, "the platform does not respond",
                           RunState::NotRun, RETRY_AFTER);
-  co_return co_await WriteStarted(call, 0);
+  co_return co_await WriteStartedRecord(call, 0);
 }
 
-Task<PlainServices::Beginning> PlainServices::BeginAgain(Call call, OnceRecord record,
-                                                         std::int64_t version)
+Task<PlainServices::StartResult>
+PlainServices::HandleExistingRecord(Call call, IdempotencyRecord record, std::int64_t version)
 {
-  const auto& membership = m_gateway.environment.membership;
+  const auto& membership = m_api_context.environment.membership;
   Common::TimePoint since;
   switch (record.state)
   {
-  case OnceState::Done:
-    co_return Answer{record.status, record.content_type, record.body, {}};
-  case OnceState::NotRun:
-    co_return co_await WriteStarted(call, version);
-  case OnceState::Unknown:
+  case IdempotencyState::Done:
+    co_return Response{record.status, record.content_type, record.body, {}};
+  case IdempotencyState::NotRun:
+    co_return co_await WriteStartedRecord(call, version);
+  case IdempotencyState::Unknown:
     co_return MakeFailure(FailureKind::OutcomeUnknown, "an earlier call with this key may have run",
                           RunState::Unknown);
-  case OnceState::Started:
+  case IdempotencyState::Started:
     // This process wrote the record but has no call in progress: the response to its write was
     // lost, so it gave up and sent nothing.
     if (record.holder == membership.Self().vm &&
         record.holder_incarnation == membership.Self().incarnation)
-      co_return co_await WriteStarted(call, version);
+      co_return co_await WriteStartedRecord(call, version);
     if (membership.StatusOf(record.holder, record.holder_incarnation, Now(), &since) ==
         HolderStatus::Alive)
       co_return MakeFailure(FailureKind::Conflict, "a call with this key is under way",
@@ -368,41 +374,42 @@
 /// Stores the outcome of the call. If the platform does not respond in time, the caller gets its
 /// response anyway and the outcome is stored later. Until then a retry is told that the call may
 /// have been executed, which is true.
-Task<bool> PlainServices::Settle(Call call, std::int64_t version, Outcome outcome)
+Task<bool> PlainServices::StoreOutcome(Call call, std::int64_t version, Outcome outcome)
 {
-  OnceRecord record;
-  record.body_hash = BodyHash(call.method, call.path, call.body);
-  if (const auto* answer = std::get_if<Answer>(&outcome))
+  IdempotencyRecord record;
+  record.body_hash = CallHash(call.method, call.path, call.body);
+  if (const auto* response = std::get_if<Response>(&outcome))
   {
-    record.state = OnceState::Done;
-    record.status = answer->status;
-    record.content_type = answer->content_type;
-    record.body = answer->body;
+    record.state = IdempotencyState::Done;
+    record.status = response->status;
+    record.content_type = response->content_type;
+    record.body = response->body;
   }
   else
   {
-    const bool not_run = std::get<CallFailure>(outcome).ran == RunState::NotRun;
-    record.state = not_run ? OnceState::NotRun : OnceState::Unknown;
+    const bool not_run = std::get<CallFailure>(outcome).run_state == RunState::NotRun;
+    record.state = not_run ? IdempotencyState::NotRun : IdempotencyState::Unknown;
   }
-  const std::string key = OnceKey(call.context.service.id, call.service.name, call.key);
+  const std::string key =
+      IdempotencyRecordKey(call.context.service.id, call.service.name, call.key);
   Platform::Transaction transaction;
   transaction.conditions.push_back({key, version});
   transaction.writes.push_back({key, SerializeRecord(record)});
-  auto& store = m_gateway.environment.store;
-  const auto soon = co_await store.Commit(transaction, Now() + STORE_PATIENCE);
-  if (soon)
+  auto& store = m_api_context.environment.store;
+  const auto commit = co_await store.Commit(transaction, Now() + STORE_TIMEOUT);
+  if (commit)
     co_return true;
   LogEvent(LogLevel::Warning, "once.settle_later",
-           {{"request", call.context.request}, {"reason", soon.Reason().detail}});
-  Common::Spawn(SettleLater(key, transaction));
+           {{"request", call.context.request}, {"reason", commit.Reason().detail}});
+  Common::Spawn(StoreOutcomeLater(key, transaction));
   co_return false;
 }
 
-Task<void> PlainServices::SettleLater(std::string key, Platform::Transaction transaction)
+Task<void> PlainServices::StoreOutcomeLater(std::string key, Platform::Transaction transaction)
 {
-  const auto later =
-      co_await m_gateway.environment.store.Commit(transaction, Now() + SETTLE_PATIENCE);
-  if (later)
-    m_active.erase(key);
+  const auto late_commit =
+      co_await m_api_context.environment.store.Commit(transaction, Now() + LATE_STORE_TIMEOUT);
+  if (late_commit)
+    m_pending_keys.erase(key);
 }
 } // namespace Callers
--- a/Source/Core/Callers/PlainServices.h
+++ b/Source/Core/Callers/PlainServices.h
@@ -12,7 +12,7 @@
 
 namespace Callers
 {
-enum class OnceState
+enum class IdempotencyState
 {
   Started, ///< The call may have been sent.
   Done,    ///< The call was executed; its response is stored.
@@ -21,9 +21,9 @@
 };
 
 /// The record of a non-repeatable call as stored in the platform.
-struct OnceRecord
+struct IdempotencyRecord
 {
-  OnceState state = OnceState::Started;
+  IdempotencyState state = IdempotencyState::Started;
   std::string body_hash;
   Common::VmId holder;
   Common::Incarnation holder_incarnation;
@@ -32,8 +32,8 @@
   std::string body;
 };
 
-std::string SerializeRecord(const OnceRecord& record);
-std::optional<OnceRecord> ParseRecord(const std::string& text);
+std::string SerializeRecord(const IdempotencyRecord& record);
+std::optional<IdempotencyRecord> ParseRecord(const std::string& text);
 
 /// Forwards calls of /services/NAME/PATH to plain services. GET, HEAD and calls that the table
 /// declares repeatable are retried. Any other call requires an Idempotency-Key and is executed at
@@ -41,7 +41,7 @@
 class PlainServices
 {
 public:
-  explicit PlainServices(Gateway& gateway) : m_gateway(gateway) {}
+  explicit PlainServices(ApiContext& api_context) : m_api_context(api_context) {}
 
   Common::Task<void> Serve(Http::ExchangePtr exchange);
 
@@ -57,35 +57,36 @@
     std::string key;
     bool repeatable = false;
   };
-  struct Answer
+  struct Response
   {
     int status = 0;
     std::string content_type;
     std::string body;
     Common::VmId server;
   };
-  using Outcome = std::variant<Answer, CallFailure>;
+  using Outcome = std::variant<Response, CallFailure>;
   struct Started
   {
     std::int64_t version = 0;
   };
-  using Beginning = std::variant<Started, Answer, CallFailure>;
+  using StartResult = std::variant<Started, Response, CallFailure>;
 
   Common::Result<Call> Parse(const Http::Exchange& exchange);
   Common::Task<Outcome> RunRepeatable(Call call);
-  Common::Task<Outcome> RunOnce(Call call);
-  Common::Task<Outcome> SendOnce(Call call);
+  Common::Task<Outcome> RunAtMostOnce(Call call);
+  Common::Task<Outcome> SendAtMostOnce(Call call);
   Common::Task<Outcome> Send(Call call, Table::BackendServer server);
-  std::vector<Table::BackendServer> ServersFor(const Call& call) const;
+  std::vector<Table::BackendServer> CandidateServers(const Call& call) const;
 
-  Common::Task<Beginning> Begin(Call call);
-  Common::Task<Beginning> BeginAgain(Call call, OnceRecord record, std::int64_t version);
-  Common::Task<Beginning> WriteStarted(Call call, std::int64_t seen);
-  Common::Task<bool> Settle(Call call, std::int64_t version, Outcome outcome);
-  Common::Task<void> SettleLater(std::string key, Platform::Transaction transaction);
+  Common::Task<StartResult> StartCall(Call call);
+  Common::Task<StartResult> HandleExistingRecord(Call call, IdempotencyRecord record,
+                                                 std::int64_t version);
+  Common::Task<StartResult> WriteStartedRecord(Call call, std::int64_t seen);
+  Common::Task<bool> StoreOutcome(Call call, std::int64_t version, Outcome outcome);
+  Common::Task<void> StoreOutcomeLater(std::string key, Platform::Transaction transaction);
 
-  Gateway& m_gateway;
+  ApiContext& m_api_context;
   /// Keys of the records that this process has started and whose outcome is not stored yet.
-  std::set<std::string> m_active;
+  std::set<std::string> m_pending_keys;
 };
 } // namespace Callers
--- a/Source/Core/Daemon/Application.cpp
+++ b/Source/Core/Daemon/Application.cpp
@@ -139,7 +139,7 @@
   Serving::LoadPermitAllocator load_permits;
   Serving::LoadCoordinator load_coordinator;
   Serving::Router router;
-  Callers::Gateway gateway;
+  Callers::ApiContext gateway;
   Callers::ChatRelay relay;
   Callers::ChatApi chat;
   Callers::Jobs jobs;
@@ -155,7 +155,7 @@
 
   Result<Done> Start()
   {
-    auto tokens = Operators::Tokens::Load(settings.operator_tokens_file);
+    auto tokens = Operators::OperatorTokens::Load(settings.operator_tokens_file);
     if (!tokens)
       return tokens.Reason();
     for (const auto& [vm, address] : settings.seeds)
@@ -305,20 +305,20 @@
     });
   }
 
-  void RegisterOperators(const Operators::Tokens& tokens)
+  void RegisterOperators(const Operators::OperatorTokens& tokens)
   {
-    const Operators::Inspected inspected{gateway,
-                                         server_manager,
-                                         load_permits,
-                                         [this] {
-                                           return jobs.Running();
-                                         },
-                                         [this] {
-                                           return callers_server.OpenExchanges();
-                                         },
-                                         [this] {
-                                           return IsReady();
-                                         }};
+    const Operators::DaemonComponents inspected{gateway,
+                                                server_manager,
+                                                load_permits,
+                                                [this] {
+                                                  return jobs.Running();
+                                                },
+                                                [this] {
+                                                  return callers_server.OpenExchanges();
+                                                },
+                                                [this] {
+                                                  return IsReady();
+                                                }};
     operators = std::make_unique<Operators::OperatorsApi>(inspected, tokens);
     operators->Register(operators_server);
   }
--- a/Source/Core/Operators/OperatorsApi.cpp
+++ b/Source/Core/Operators/OperatorsApi.cpp
@@ -27,14 +27,14 @@
 constexpr int STATUS_UNAVAILABLE = 503;
 constexpr std::int64_t DEFAULT_HISTORY = 20;
 constexpr std::int64_t MAX_HISTORY = 200;
-constexpr std::string_view BEARER = "Bearer ";
+constexpr std::string_view BEARER_PREFIX = "Bearer ";
 
-void Fail(Http::Exchange& exchange, const Failure& failure)
+void RespondWithFailure(Http::Exchange& exchange, const Failure& failure)
 {
   const Callers::CallFailure refusal{failure, Callers::RunState::NotRun};
   const Json body = {
       {"error", {{"type", Common::ToString(failure.kind)}, {"message", failure.detail}}}};
-  exchange.RespondJson(Callers::StatusOf(refusal), body);
+  exchange.RespondJson(Callers::HttpStatusOf(refusal), body);
 }
 
 std::string_view ToString(Daemons::ReplicaState state)
@@ -87,9 +87,9 @@
 }
 } // namespace
 
-Result<Tokens> Tokens::Load(const std::string& path)
+Result<OperatorTokens> OperatorTokens::Load(const std::string& path)
 {
-  Tokens tokens;
+  OperatorTokens tokens;
   if (path.empty())
     return tokens;
   std::ifstream file(path);
@@ -107,14 +107,14 @@
   return tokens;
 }
 
-Role Tokens::RoleOf(const Http::Exchange& exchange) const
+Role OperatorTokens::RoleOf(const Http::Exchange& exchange) const
 {
   if (m_roles.empty())
     return Role::Editor;
   const std::string header = exchange.Header("authorization");
-  if (!header.starts_with(BEARER))
+  if (!header.starts_with(BEARER_PREFIX))
     return Role::None;
-  const auto found = m_roles.find(header.substr(BEARER.size()));
+  const auto found = m_roles.find(header.substr(BEARER_PREFIX.size()));
   return found == m_roles.end() ? Role::None : found->second;
 }
 
@@ -140,18 +140,19 @@
     co_return;
   });
   Route(server, "/readyz", Role::None, [this](Http::ExchangePtr exchange) -> Task<void> {
-    const bool ready = m_inspected.ready();
+    const bool ready = m_components.ready();
     exchange->Respond(ready ? STATUS_OK : STATUS_UNAVAILABLE, "text/plain",
                       ready ? "ready\n" : "not ready\n");
     co_return;
   });
   Route(server, "/metrics", Role::None, [this](Http::ExchangePtr exchange) -> Task<void> {
-    auto& gateway = m_inspected.gateway;
-    gateway.metrics.SetGauge("waiting", static_cast<double>(gateway.router.Waiting()));
-    gateway.metrics.SetGauge("in_flight", static_cast<double>(gateway.router.InFlight()));
-    gateway.metrics.SetGauge(
-        "table_revision", static_cast<double>(gateway.environment.table.CurrentRevision().Get()));
-    exchange->Respond(STATUS_OK, "text/plain; version=0.0.4", gateway.metrics.Render());
+    auto& api_context = m_components.api_context;
+    api_context.metrics.SetGauge("waiting", static_cast<double>(api_context.router.Waiting()));
+    api_context.metrics.SetGauge("in_flight", static_cast<double>(api_context.router.InFlight()));
+    api_context.metrics.SetGauge(
+        "table_revision",
+        static_cast<double>(api_context.environment.table.CurrentRevision().Get()));
+    exchange->Respond(STATUS_OK, "text/plain; version=0.0.4", api_context.metrics.Render());
     co_return;
   });
   Route(server, "/dump", Role::Viewer, [this](Http::ExchangePtr exchange) -> Task<void> {
@@ -159,7 +160,8 @@
     co_return;
   });
   Route(server, "/v1/explain", Role::Viewer, [this](Http::ExchangePtr exchange) -> Task<void> {
-    const Json found = m_inspected.gateway.environment.decision_log.Find(exchange->Query("key"));
+    const Json found =
+        m_components.api_context.environment.decision_log.Find(exchange->Query("key"));
     exchange->RespondJson(STATUS_OK, {{"decisions", found}});
     co_return;
   });
@@ -176,13 +178,13 @@
 
 Task<void> OperatorsApi::ShowTable(Http::ExchangePtr exchange)
 {
-  auto& table = m_inspected.gateway.environment.table;
+  auto& table = m_components.api_context.environment.table;
   if (exchange->Query("fresh") == "1")
     co_await table.Refresh();
   if (!table.HasTable())
   {
     const Failure failure{FailureKind::Unavailable, "this daemon has no table yet"};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   const Json body = {{"revision", table.CurrentRevision().Get()},
                      {"rows", RowsAsJson(Table::RowsWithoutVersions(table.Rows()))}};
@@ -196,22 +198,23 @@
   {
     const Failure failure{FailureKind::InvalidInput,
                           "expected POST {\"revision\", \"change\", \"who\", \"rows\"}"};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   auto rows = RowsFromJson(*body);
   if (!rows)
-    co_return Fail(*exchange, rows.Reason());
+    co_return RespondWithFailure(*exchange, rows.Reason());
   const std::string change_id = GetOr(*body, "change", std::string());
   if (change_id.empty())
   {
     const Failure failure{FailureKind::InvalidInput, "\"change\" must be the id of the edit"};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   const Common::Revision seen(GetOr(*body, "revision", std::int64_t(-1)));
   const std::string who = GetOr(*body, "who", std::string("unknown"));
-  auto change = co_await m_inspected.gateway.environment.table.Apply(seen, change_id, who, *rows);
+  auto change =
+      co_await m_components.api_context.environment.table.Apply(seen, change_id, who, *rows);
   if (!change)
-    co_return Fail(*exchange, change.Reason());
+    co_return RespondWithFailure(*exchange, change.Reason());
   Common::LogEvent(Common::LogLevel::Info, "table.applied",
                    {{"revision", change->revision}, {"change", change_id}, {"who", who}});
   exchange->RespondJson(STATUS_OK, {{"revision", change->revision.Get()}});
@@ -220,11 +223,11 @@
 Task<void> OperatorsApi::ShowHistory(Http::ExchangePtr exchange)
 {
   const std::int64_t count = ParseCount(exchange->Query("count"));
-  const auto changes = co_await m_inspected.gateway.environment.table.History(count);
+  const auto changes = co_await m_components.api_context.environment.table.History(count);
   if (!changes)
   {
     const Failure failure{FailureKind::Unavailable, "the platform does not respond"};
-    co_return Fail(*exchange, failure);
+    co_return RespondWithFailure(*exchange, failure);
   }
   Json json = Json::array();
   for (const Table::Change& change : *changes)
@@ -234,7 +237,7 @@
 
 Json OperatorsApi::DaemonsAsJson() const
 {
-  const auto& membership = m_inspected.gateway.environment.membership;
+  const auto& membership = m_components.api_context.environment.membership;
   const auto& self = membership.Self();
   Json daemons = Json::array();
   daemons.push_back({{"vm", self.vm.Get()},
@@ -257,7 +260,7 @@
 Json OperatorsApi::ServersAsJson() const
 {
   Json servers = Json::array();
-  const auto& server_statuses = m_inspected.gateway.environment.server_statuses;
+  const auto& server_statuses = m_components.api_context.environment.server_statuses;
   for (const auto& [vm, entry] : server_statuses.Entries())
   {
     Json replicas = Json::array();
@@ -271,7 +274,7 @@
                           {"surplus", replica.surplus}});
     servers.push_back({{"vm", vm.Get()},
                        {"keeper", entry.status.keeper.Get()},
-                       {"kept_here", m_inspected.server_manager.Manages(vm)},
+                       {"kept_here", m_components.server_manager.Manages(vm)},
                        {"ready", entry.status.ready},
                        {"leaving", server_statuses.IsLeaving(vm)},
                        {"capacity_mb", entry.status.capacity.Get()},
@@ -284,23 +287,23 @@
 
 Json OperatorsApi::Dump()
 {
-  auto& gateway = m_inspected.gateway;
-  const auto& link = gateway.environment.link.Counters();
-  return {{"vm", gateway.environment.Self().Get()},
-          {"data_centre", gateway.environment.DataCentre().Get()},
-          {"ready", m_inspected.ready()},
-          {"stopping", gateway.stopping},
-          {"platform_down", gateway.environment.store.IsDown()},
-          {"table_revision", gateway.environment.table.CurrentRevision().Get()},
+  auto& api_context = m_components.api_context;
+  const auto& link = api_context.environment.link.Counters();
+  return {{"vm", api_context.environment.Self().Get()},
+          {"data_centre", api_context.environment.DataCentre().Get()},
+          {"ready", m_components.ready()},
+          {"stopping", api_context.stopping},
+          {"platform_down", api_context.environment.store.IsDown()},
+          {"table_revision", api_context.environment.table.CurrentRevision().Get()},
           {"daemons", DaemonsAsJson()},
           {"servers", ServersAsJson()},
-          {"waiting", gateway.router.Waiting()},
-          {"in_flight", gateway.router.InFlight()},
-          {"open_exchanges", m_inspected.open_exchanges()},
-          {"running_jobs", m_inspected.running_jobs()},
+          {"waiting", api_context.router.Waiting()},
+          {"in_flight", api_context.router.InFlight()},
+          {"open_exchanges", m_components.open_exchanges()},
+          {"running_jobs", m_components.running_jobs()},
           {"loads",
-           {{"running", m_inspected.load_permits.Running()},
-            {"waiting", m_inspected.load_permits.Waiting()}}},
+           {{"running", m_components.load_permits.Running()},
+            {"waiting", m_components.load_permits.Waiting()}}},
           {"link",
            {{"heartbeats_sent", link.heartbeats_sent},
             {"heartbeats_received", link.heartbeats_received},
--- a/Source/Core/Operators/OperatorsApi.h
+++ b/Source/Core/Operators/OperatorsApi.h
@@ -22,12 +22,12 @@
 };
 
 /// Access tokens of operators and their roles. If there are none, every client is an editor.
-class Tokens
+class OperatorTokens
 {
 public:
   /// Reads a file with one ROLE:TOKEN per line; an empty path gives no tokens. Fails with
   /// InvalidInput if the file cannot be read or a line is malformed.
-  static Common::Result<Tokens> Load(const std::string& path);
+  static Common::Result<OperatorTokens> Load(const std::string& path);
 
   Role RoleOf(const Http::Exchange& exchange) const;
 
@@ -36,9 +36,9 @@
 };
 
 /// Components of the daemon whose state the operators' interface exposes.
-struct Inspected
+struct DaemonComponents
 {
-  Callers::Gateway& gateway;
+  Callers::ApiContext& api_context;
   Serving::ServerManager& server_manager;
   Serving::LoadPermitAllocator& load_permits;
   std::function<std::size_t()> running_jobs;
@@ -50,8 +50,8 @@
 class OperatorsApi
 {
 public:
-  OperatorsApi(Inspected inspected, Tokens tokens)
-      : m_inspected(std::move(inspected)), m_tokens(std::move(tokens))
+  OperatorsApi(DaemonComponents components, OperatorTokens tokens)
+      : m_components(std::move(components)), m_tokens(std::move(tokens))
   {
   }
 
@@ -70,7 +70,7 @@
   Common::Json DaemonsAsJson() const;
   Common::Json ServersAsJson() const;
 
-  Inspected m_inspected;
-  Tokens m_tokens;
+  DaemonComponents m_components;
+  OperatorTokens m_tokens;
 };
 } // namespace Operators
--- a/Source/UnitTests/Main.cpp
+++ b/Source/UnitTests/Main.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 /// Number of inputs for each decoder if `--fuzz` is given without ROUNDS.
-constexpr int FUZZ_ROUNDS = 20000;
+constexpr int DEFAULT_FUZZ_ROUNDS = 20000;
 
 /// Strips the anonymous namespace that all test classes are in.
 std::string ShortName(const std::string& name)
@@ -34,7 +34,7 @@
 int main(int argc, char** argv)
 {
   if (argc > 1 && std::string_view(argv[1]) == "--fuzz")
-    return UnitTests::RunFuzz(argc > 2 ? std::atoi(argv[2]) : FUZZ_ROUNDS) == 0 ? 0 : 1;
+    return UnitTests::RunFuzz(argc > 2 ? std::atoi(argv[2]) : DEFAULT_FUZZ_ROUNDS) == 0 ? 0 : 1;
   Common::InitLog(argv[0]);
   Common::MuteLog();
   CppUnit::TestResult result;
