--- a/Source/Core/BackendServers/Types.h
+++ b/Source/Core/BackendServers/Types.h
@@ -20,19 +20,20 @@
   Unloading,
 };
 
-/// One artifact in an engine's memory, as the engine reports it.
-struct LoadedArtifact
+/// An artifact in the memory of a backend server, as reported by the server.
+struct ReportedArtifact
 {
   Common::ArtifactId id;
   ArtifactState state = ArtifactState::Loading;
   std::int64_t running = 0;
-  std::int64_t served = 0; ///< Requests since it was loaded.
+  std::int64_t served = 0; ///< Requests since the artifact was loaded.
   Common::Milliseconds idle{0};
-  Common::Milliseconds age{0}; ///< Since it was loaded.
+  Common::Milliseconds age{0}; ///< Time since the artifact was loaded.
 };
 
-/// What an engine says of itself. Artifacts are current; `running` lags.
-struct EngineReport
+/// The state of a backend server as reported by itself. The artifacts are current, but the counts
+/// of running requests lag behind.
+struct BackendReport
 {
   Common::VmId vm;
   Common::Incarnation incarnation;
@@ -42,7 +43,7 @@
   bool ready = false;
   std::int64_t running = 0;
   std::int64_t max_running = 0;
-  std::vector<LoadedArtifact> artifacts;
+  std::vector<ReportedArtifact> artifacts;
   std::vector<Common::ArtifactId> on_disk;
   std::vector<Common::ArtifactId> in_memory;
 };
@@ -51,11 +52,12 @@
 {
   Load,
   Unload,
-  RaiseFence, ///< Changes nothing but the engine's fencing number.
+  RaiseFence, ///< Only raises the server's fencing number.
 };
 
-/// An order to one incarnation of an engine. Engines that check refuse an older fencing number.
-struct EngineOrder
+/// An order to one instance of a backend server. A server that checks fencing numbers rejects an
+/// order whose number is older than one that it has seen.
+struct BackendOrder
 {
   OrderKind kind = OrderKind::Load;
   Common::ArtifactId artifact;
@@ -66,16 +68,16 @@
   Common::ClaimId claim;
 };
 
-/// What drumpond needs of a model engine. Another engine is one new class with these calls.
-/// `Order` answers when it has been carried out. Failures: NotSent and Refused say that it has no
-/// effect; Timeout and OutcomeUnknown leave that open.
+/// Client of a backend server. To support another kind of model server, add a class that satisfies
+/// this concept. `Order` completes when the server has carried out the order. After NotSent and
+/// Refused the order has no effect; after Timeout and OutcomeUnknown it may have one.
 template <typename T>
-concept EngineClient = requires(T client, std::string address, EngineOrder order,
-                                Common::Milliseconds timeout)
+concept BackendClient = requires(T client, std::string address, BackendOrder order,
+                                 Common::Milliseconds timeout)
 {
   {
     client.Report(address)
-    } -> std::same_as<Common::Task<Common::Result<EngineReport>>>;
+    } -> std::same_as<Common::Task<Common::Result<BackendReport>>>;
   {
     client.Order(address, order, timeout)
     } -> std::same_as<Common::Task<Common::Result<Common::Done>>>;
