--- a/Source/StandIns/BackendServer/Main.cpp
+++ b/Source/StandIns/BackendServer/Main.cpp
@@ -1,9 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// A model engine's stand-in: loads and unloads artifacts on orders, streams chat completions as
-// server-sent events, reports its load late, and can be told to misbehave. Its own record counts
-// runs per request and the peak of its memory, whatever the daemons believe.
+// Stand-in for a backend server with a model server: loads and unloads artifacts on orders, streams
+// chat completions as server-sent events, reports its load with a delay, and injects faults on
+// request. It counts the runs of each request and its peak memory use by itself, so that a test can
+// check them independently of what the daemons report.
 
 #include <algorithm>
 #include <map>
@@ -22,6 +23,7 @@
 using Common::Milliseconds;
 using Common::Task;
 
+/// A model or adapter that is loaded or being loaded or unloaded.
 struct Artifact
 {
   std::string state = "loading";
@@ -48,19 +50,26 @@
   std::set<std::string> on_disk;
 };
 
+/// The active faults; /control sets them by the names of these fields.
 struct Faults
 {
+  /// Reports that it is not ready.
   bool leaving = false;
+  /// Sends no tokens.
   bool stall = false;
+  /// Ends streams after this many tokens, without the [DONE] event. Negative: never.
   int cut_stream_after = -1;
+  /// Delay before a response starts.
   int late_ms = 0;
+  /// Responds under a wrong request id.
   bool cross = false;
+  /// Exits when a load starts.
   bool die_in_load = false;
-  /// Orders are held back so long before they are looked at.
+  /// Delay before an order is checked and carried out.
   int order_delay_ms = 0;
-  /// So many of the next orders are carried out, but their answer is lost.
+  /// The next so many loads are carried out, but their response is lost.
   int lose_order_answers = 0;
-  /// VMs that do not reach this backend server.
+  /// VMs that are cut off from this backend server.
   std::set<std::string> cut;
 };
 
@@ -150,7 +159,7 @@
       answered = "crossed";
     co_await Generate(exchange, body, answered);
     --m_running;
-    // An unload waits for running requests, so the artifact is still here.
+    // An unload waits for running requests, so the artifact is still loaded.
     Artifact& artifact = m_artifacts[model];
     --artifact.running;
     artifact.last_used = Common::Now();
@@ -339,7 +348,8 @@
         {{"x-request-id", request}});
   }
 
-  /// Copies the load figures late, and integrates loaded and busy time.
+  /// Updates the reported number of running requests once per report lag, and sums up the time for
+  /// which artifacts were loaded and busy.
   void SampleLoad()
   {
     const Milliseconds period(std::max(10, m_settings.report_lag_ms));
@@ -395,20 +405,21 @@
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options options("standin-engine", "Stand-in of a model engine");
+  cxxopts::Options options("standin-engine", "Stand-in for a model server");
   StandIns::AddListenOptions(options);
   options.add_options()("vm", "name of the backend server", cxxopts::value<std::string>())(
       "memory-mb", "accelerator memory", cxxopts::value<std::int64_t>()->default_value("80000"))(
-      "ignore-fencing", "run orders with any fencing number")(
+      "ignore-fencing", "carry out orders with any fence")(
       "weight-store", "URL of the weight store", cxxopts::value<std::string>()->default_value(""))(
-      "disk-load-ms", "load from disk", cxxopts::value<int>()->default_value("200"))(
-      "memory-load-ms", "load from host memory", cxxopts::value<int>()->default_value("50"))(
-      "token-ms", "time of one token", cxxopts::value<int>()->default_value("5"))(
-      "tokens", "tokens of an answer", cxxopts::value<int>()->default_value("8"))(
-      "max-running", "requests at once",
-      cxxopts::value<int>()->default_value("64"))("report-lag-ms", "how late the load is reported",
+      "disk-load-ms", "duration of a load from disk", cxxopts::value<int>()->default_value("200"))(
+      "memory-load-ms", "duration of a load from host memory",
+      cxxopts::value<int>()->default_value("50"))("token-ms", "duration of one token",
+                                                  cxxopts::value<int>()->default_value("5"))(
+      "tokens", "tokens of a response", cxxopts::value<int>()->default_value("8"))(
+      "max-running", "maximum number of concurrent requests",
+      cxxopts::value<int>()->default_value("64"))("report-lag-ms", "delay of the reported load",
                                                   cxxopts::value<int>()->default_value("100"))(
-      "on-disk", "artifacts whose checkpoint is on disk",
+      "on-disk", "artifacts whose weights are on disk",
       cxxopts::value<std::vector<std::string>>()->default_value(""));
   const cxxopts::ParseResult parsed = StandIns::ParseOrExit(options, argc, argv);
   if (parsed.count("vm") == 0)
--- a/Source/StandIns/Kit/StandIn.h
+++ b/Source/StandIns/Kit/StandIn.h
@@ -15,7 +15,7 @@
 
 namespace StandIns
 {
-/// Adds what every stand-in is started with.
+/// Adds the command line options that all stand-ins share.
 inline void AddListenOptions(cxxopts::Options& options)
 {
   options.add_options()("address", "IP address to listen on",
@@ -23,7 +23,8 @@
       "port", "port to listen on", cxxopts::value<int>())("help", "print this text");
 }
 
-/// Parses the command line; prints and exits where it is wrong.
+/// Parses the command line. Prints the help text or the error and exits if the program is not to
+/// run.
 inline cxxopts::ParseResult ParseOrExit(cxxopts::Options& options, int argc, char** argv)
 {
   try
@@ -45,7 +46,7 @@
   }
 }
 
-/// Listens and runs the main loop until the process is ended.
+/// Listens on the given address and port and runs the main loop until the process is killed.
 inline int Serve(Http::Server& server, const cxxopts::ParseResult& parsed)
 {
   const auto listening =
--- a/Source/StandIns/PlainService/Main.cpp
+++ b/Source/StandIns/PlainService/Main.cpp
@@ -1,8 +1,9 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// A plain service's stand-in: it runs each call at once, counts the runs by idempotency key and by
-// request id, and can answer late, break off after the run, or refuse.
+// Stand-in for a plain service: it runs each call at once and counts the runs by idempotency key
+// and by request id. On request it delays responses, breaks connections after the run, responds
+// under a wrong request id, or rejects calls before they run.
 
 #include <map>
 
@@ -64,9 +65,9 @@
 private:
   int m_calls = 0;
   int m_late_ms = 0;
-  int m_cut = 0;
+  int m_cut = 0; ///< So many of the next calls run, but get no response.
   bool m_refuse = false;
-  bool m_cross = false;
+  bool m_cross = false; ///< Responds under a wrong request id.
   std::map<std::string, int> m_runs_by_request;
   std::map<std::string, int> m_runs_by_key;
 };
@@ -74,7 +75,7 @@
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options options("standin-plain-service", "Stand-in of a plain service");
+  cxxopts::Options options("standin-plain-service", "Stand-in for a plain service");
   StandIns::AddListenOptions(options);
   const cxxopts::ParseResult parsed = StandIns::ParseOrExit(options, argc, argv);
   Common::InitLog(argv[0]);
--- a/Source/StandIns/Platform/Main.cpp
+++ b/Source/StandIns/Platform/Main.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// The platform's stand-in: a transactional table service, an object store and a lagging list of
-// VMs, all in memory, with switches for what fails. One process, HTTP/JSON.
+// Stand-in for the platform: a transactional table service, an object store and a delayed list of
+// VMs, all in memory, with fault injection. One process, HTTP/JSON.
 
 #include <map>
 #include <set>
@@ -24,17 +24,18 @@
   std::string value;
 };
 
+/// The active faults; /control sets them by the names of these fields.
 struct Faults
 {
   bool outage = false;
   int slow_ms = 0;
-  /// Transactions take effect at once, but are answered so late.
+  /// Delay of the response to a transaction, which takes effect at once.
   int answer_delay_ms = 0;
-  /// So many of the next transactions take effect, but their answer is lost.
+  /// The next so many transactions take effect, but their response is lost.
   int lose_answers = 0;
-  /// So many of the next transactions are lost before they take effect.
+  /// The next so many transactions are lost before they take effect.
   int lose_requests = 0;
-  /// VMs that do not reach the platform.
+  /// VMs that are cut off from the platform.
   std::set<std::string> cut;
 };
 
@@ -49,7 +50,7 @@
       co_await Common::Sleep{Common::Milliseconds(m_faults.slow_ms)};
     if (m_faults.outage || m_faults.cut.contains(exchange->Header("x-drumpond-vm")))
     {
-      // An outage is silence: the connection breaks without an answer.
+      // During an outage the connection breaks without a response.
       exchange->Abort();
       co_return;
     }
@@ -92,7 +93,8 @@
   }
 
 private:
-  /// The list, or the view of it that one VM gets: other addresses lead through a test's relays.
+  /// The list of VMs, or the one that is set for this VM, whose addresses may lead through the
+  /// relays of a test.
   Json VmsFor(const std::string& vm) const
   {
     return m_vms_for.contains(vm) ? m_vms_for[vm] : m_visible_vms;
@@ -156,7 +158,7 @@
       exchange->RespondJson(409, {{"conflicts", conflicts}});
   }
 
-  /// All rows written together carry one new version; versions only grow.
+  /// All rows that one transaction writes get the same new version; versions only increase.
   void Apply(const Json& body)
   {
     ++m_version;
@@ -227,9 +229,9 @@
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options options("standin-platform", "Stand-in of the platform's services");
+  cxxopts::Options options("standin-platform", "Stand-in for the platform's services");
   StandIns::AddListenOptions(options);
-  options.add_options()("vm-lag-ms", "how late the VM list is",
+  options.add_options()("vm-lag-ms", "delay of the VM list",
                         cxxopts::value<int>()->default_value("200"));
   const cxxopts::ParseResult parsed = StandIns::ParseOrExit(options, argc, argv);
   Common::InitLog(argv[0]);
--- a/Source/StandIns/WeightStore/Main.cpp
+++ b/Source/StandIns/WeightStore/Main.cpp
@@ -1,9 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// The weight store's stand-in: starts a limited number of loads a second, runs a limited number at
-// full speed, and shares that speed among more. It also keeps the ledger of which artifact lies in
-// which backend server's memory, from which the scenarios read peaks over all data centres.
+// Stand-in for the weight store: starts a limited number of loads per second, runs a limited number
+// of them at full speed, and divides that bandwidth among them if there are more. It also records
+// which backend servers hold which artifact in memory; the scenarios read from it the highest
+// number of copies over all data centres.
 
 #include <algorithm>
 #include <deque>
@@ -25,7 +26,7 @@
 
 struct Transfer
 {
-  double left_ms;
+  double left_ms; ///< At full speed.
   Common::Completion<bool> done;
 };
 
@@ -47,7 +48,7 @@
     exchange->RespondJson(200, Json::object());
   }
 
-  /// Body: vm, artifact, loaded (true or false); or vm, reset.
+  /// Body: vm, artifact, loaded (true or false); or vm, reset, when the backend server starts.
   Task<void> Ledger(Http::ExchangePtr exchange)
   {
     const Json body = Common::ParseJson(exchange->Body()).value_or(Json::object());
@@ -83,6 +84,7 @@
   }
 
 private:
+  /// Calls Advance() every TICK.
   void ScheduleTick()
   {
     Common::CallAfter(TICK, [this] {
@@ -91,6 +93,7 @@
     });
   }
 
+  /// Advances the running transfers and starts waiting ones as the token bucket allows.
   void Advance()
   {
     const auto now = Common::Now();
@@ -118,25 +121,25 @@
   double m_starts_per_second;
   int m_full_speed;
   double m_load_ms;
-  double m_speed = 1.0;
-  double m_tokens = 1.0;
+  double m_speed = 1.0;  ///< Factor on the bandwidth and the start rate.
+  double m_tokens = 1.0; ///< Token bucket for starts; holds one at most.
   Common::TimePoint m_last = Common::Now();
   std::deque<Transfer> m_waiting;
   std::list<Transfer> m_running;
   std::int64_t m_fetches = 0;
-  std::map<std::string, std::set<std::string>> m_holders;
-  std::map<std::string, std::size_t> m_peaks;
+  std::map<std::string, std::set<std::string>> m_holders; ///< Backend servers by artifact.
+  std::map<std::string, std::size_t> m_peaks; ///< Highest number of holders by artifact.
 };
 } // namespace
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options options("standin-weight-store", "Stand-in of the weight store");
+  cxxopts::Options options("standin-weight-store", "Stand-in for the weight store");
   StandIns::AddListenOptions(options);
-  options.add_options()("starts-per-second", "loads started a second",
+  options.add_options()("starts-per-second", "loads started per second",
                         cxxopts::value<double>()->default_value("3"))(
-      "full-speed", "loads that run at full speed at once",
-      cxxopts::value<int>()->default_value("4"))("load-ms", "duration of one load at full speed",
+      "full-speed", "concurrent loads that run at full speed",
+      cxxopts::value<int>()->default_value("4"))("load-ms", "duration of a load at full speed",
                                                  cxxopts::value<double>()->default_value("600"));
   const cxxopts::ParseResult parsed = StandIns::ParseOrExit(options, argc, argv);
   Common::InitLog(argv[0]);
