--- a/Source/StandIns/Soak/Ledger.cpp
+++ b/Source/StandIns/Soak/Ledger.cpp
@@ -10,30 +10,32 @@
 {
 namespace
 {
-/// Between the orders of two holders to one server; the platform's bound, less what a datagram and
-/// this program's own loop take.
+/// Minimum time between the orders of two holders to one server: the platform's bound, less the
+/// delays of a datagram and of this program's event loop.
 constexpr Common::Milliseconds HOLDER_PAUSE{2900};
 
-/// A request that ends servers is known for it after so many.
+/// Daemons recognize a crashing request after this many crashes.
 constexpr int KNOWN_AFTER_ENDS = 3;
-/// So long all daemons that are in touch may take to learn of it.
+/// Maximum time until all daemons that are not cut off have learned of a crash or a rate limit.
 constexpr Common::Milliseconds CONTACT_TIME{3000};
-/// Later it reaches servers so often at most, for all time.
+/// Maximum number of arrivals of a crashing request after that time, over the whole run.
 constexpr int LATE_ARRIVALS_ALLOWED = 3;
 
-/// A server with a limit gets at most so many times what it allows in a window, and some on top.
+/// Within a window, a server gets at most its rate limit times this factor, plus the slack.
 constexpr Common::Milliseconds LIMIT_WINDOW{4000};
 constexpr double LIMIT_FACTOR = 1.5;
 constexpr double LIMIT_SLACK = 5;
 
-/// A request that a caller sends later than this after its daemon has passed on that a server
-/// leaves does not reach that server.
+/// Maximum time from the announcement of a draining server to a daemon until that daemon sends it
+/// none of the requests that callers send from then on.
 constexpr Common::Milliseconds LEAVING_BOUND{2000};
-/// Requests may reach a server that wants none for so long after it has said so, and so many later.
+/// After a server has asked a daemon to back off, requests may still arrive for this time, and this
+/// many of them later.
 constexpr Common::Milliseconds BACKOFF_LEEWAY{500};
 constexpr int BACKOFF_ARRIVALS_ALLOWED = 2;
 
-/// True where the body is a whole stream for `id`: ids from 1 without a gap, then the end mark.
+/// Returns whether the body consists of complete events for `id`, numbered from 1 without a gap.
+/// Does not check how many there are.
 bool IsWholeStream(const std::string& id, const std::string& body)
 {
   std::string expected;
@@ -54,16 +56,16 @@
   const auto found = m_requests.find(id);
   if (found == m_requests.end())
   {
-    Break("a server runs what nobody sent: " + id);
+    Break("a server ran a request that no caller sent: " + id);
     return;
   }
   Request& request = found->second;
   ++request.runs;
   const bool once = request.type == RequestType::Once || request.type == RequestType::OnceStream;
   if (once && request.runs > 1)
-    Break("ran twice: " + id);
+    Break("non-repeatable request ran twice: " + id);
   if (once && request.promised_not_run)
-    Break("ran after the word that it would not: " + id);
+    Break("ran after the caller was told that it had not run: " + id);
 }
 
 void Ledger::NoteAnswer(const std::string& id, int status, const std::string& body)
@@ -75,7 +77,7 @@
     ++m_refused;
     request.promised_not_run = true;
     if (once && request.runs > 0)
-      Break("told not to have run, but ran: " + id);
+      Break("caller was told that it had not run, but it ran: " + id);
     return;
   }
   if (status != 200)
@@ -88,7 +90,7 @@
       request.type == RequestType::Stream || request.type == RequestType::OnceStream;
   const bool sound = stream ? IsWholeStream(id, body) : body == "answer to " + id;
   if (!sound)
-    Break("a wrong answer to " + id + ": " + body.substr(0, 80));
+    Break("wrong response to " + id + ": " + body.substr(0, 80));
 }
 
 void Ledger::NoteOrder(const std::string& server, const std::string& holder, std::int64_t fence,
@@ -97,11 +99,12 @@
   ++m_orders;
   ServerOrders& last = m_servers[server];
   if (!last.holder.empty() && last.holder != holder && now - last.at < HOLDER_PAUSE)
-    Break("two holders order " + server + " too soon: " + last.holder + ", " + holder);
+    Break("two holders sent orders to " + server + " too close together: " + last.holder + ", " +
+          holder);
   if (fence < last.fence)
-    Break("a lower fence at " + server);
+    Break("order with an outdated fence at " + server);
   if (!last.holder.empty() && last.holder != holder && fence == last.fence)
-    Break("two holders with one fence at " + server);
+    Break("two holders used the same fence at " + server);
   last = {holder, fence, now};
 }
 
@@ -133,8 +136,8 @@
   if (static_cast<double>(limited.arrivals.size()) <= allowed || limited.broken)
     return;
   limited.broken = true;
-  Break("more than the limit at " + server + ": " + std::to_string(limited.arrivals.size()) +
-        " in a window, allowed " + std::to_string(allowed));
+  Break("rate limit exceeded at " + server + ": " + std::to_string(limited.arrivals.size()) +
+        " requests in a window, allowed " + std::to_string(allowed));
 }
 
 bool Ledger::HasRunSince(const std::string& daemon, Common::TimePoint moment) const
@@ -179,14 +182,14 @@
   Told& told = found->second;
   if (told.leaving_at && request.sent_at > *told.leaving_at + LEAVING_BOUND &&
       HasRunSince(request.daemon, *told.leaving_at))
-    BreakByArrival("reached a server that leaves: ", id, instance);
+    BreakByArrival("request arrived at a draining server: ", id, instance);
   std::erase_if(told.backoffs, [now](const Told::Backoff& backoff) {
     return backoff.until <= now;
   });
   for (Told::Backoff& backoff : told.backoffs)
     if (now > backoff.from + BACKOFF_LEEWAY && HasRunSince(request.daemon, backoff.from) &&
         ++backoff.arrivals == BACKOFF_ARRIVALS_ALLOWED + 1)
-      BreakByArrival("reached a server that wanted none: ", id, instance);
+      BreakByArrival("request arrived during a backoff: ", id, instance);
 }
 
 void Ledger::NoteDaemonStop(const std::string& daemon, Common::TimePoint until)
@@ -221,8 +224,8 @@
       now - m_disturbed_until < CONTACT_TIME)
     return;
   if (++known.too_late == LATE_ARRIVALS_ALLOWED + 1)
-    Break("sent again and again: " + crasher + ", " + std::to_string(known.ends) +
-          " servers have ended under it");
+    Break("crashing request was not blocked: " + crasher + ", " + std::to_string(known.ends) +
+          " servers crashed");
 }
 
 std::string Ledger::DescribeCrashers() const
@@ -230,8 +233,8 @@
   std::string text;
   for (const auto& [name, crasher] : m_crashers)
     text += name + ": " + std::to_string(crasher.arrivals) + " arrivals, " +
-            std::to_string(crasher.ends) + " servers ended, " + std::to_string(crasher.too_late) +
-            " too late\n";
+            std::to_string(crasher.ends) + " servers crashed, " + std::to_string(crasher.too_late) +
+            " late arrivals\n";
   return text;
 }
 } // namespace Soak
--- a/Source/StandIns/Soak/Ledger.h
+++ b/Source/StandIns/Soak/Ledger.h
@@ -15,16 +15,16 @@
 
 namespace Soak
 {
-/// What may be asked of the daemons.
+/// The types of requests that the soak test sends.
 enum class RequestType
 {
-  Plain,      ///< May be repeated.
-  Once,       ///< Runs once at most.
-  Stream,     ///< May be resumed.
-  OnceStream, ///< Runs once at most.
+  Plain,      ///< May run more than once.
+  Once,       ///< Runs at most once.
+  Stream,     ///< May be resumed on another server.
+  OnceStream, ///< Runs at most once.
 };
 
-/// Keeps account of what callers and backend servers saw, and names each broken promise.
+/// Records what callers and backend servers observe, and reports each violation of an invariant.
 class Ledger
 {
 public:
@@ -34,35 +34,37 @@
     m_requests[id].daemon = daemon;
     m_requests[id].sent_at = Common::Now();
   }
-  /// A backend server began to work on the request.
+  /// A backend server started to run the request.
   void NoteRun(const std::string& id);
-  /// The caller got a whole answer, or (status 0) none.
+  /// The caller got a complete response, or none (status 0).
   void NoteAnswer(const std::string& id, int status, const std::string& body);
-  /// A backend server took an order.
+  /// A backend server received an order.
   void NoteOrder(const std::string& server, const std::string& holder, std::int64_t fence,
                  Common::TimePoint now);
-  /// A request that ends the servers that run it has reached a server.
+  /// A request that crashes the servers that run it has arrived at a server.
   void NoteCrasherArrival(const std::string& crasher, Common::TimePoint now);
-  /// A server has ended under it.
+  /// A server has crashed while it ran that request.
   void NoteCrash(const std::string& crasher, Common::TimePoint now);
-  /// A backend server names a limit from now on, in requests a second, or none.
+  /// A backend server announces a rate limit from now on, in requests per second, or none.
   void NoteLimit(const std::string& server, std::optional<double> per_second,
                  Common::TimePoint now);
-  /// A request has reached a backend server.
+  /// A request has arrived at a backend server; checks the rate limit.
   void NoteArrival(const std::string& server, const std::string& id, Common::TimePoint now);
-  /// A life of a backend server has told the request's daemon in an answer that it leaves.
+  /// An instance of a backend server has announced in the response to the request that it is
+  /// draining.
   void NoteAnnouncedEnd(const std::string& instance, const std::string& id, Common::TimePoint now);
-  /// It has rejected the request and wants none of its daemon for so many seconds.
+  /// The instance has rejected the request with a backoff of so many seconds for its daemon.
   void NoteRetryAfter(const std::string& instance, const std::string& id, double seconds,
                       Common::TimePoint now);
-  /// A request has reached a life of a backend server.
+  /// A request has arrived at an instance of a backend server; checks draining and backoff.
   void NoteArrivalInLife(const std::string& instance, const std::string& id, Common::TimePoint now);
-  /// Until then the daemon is restarted or stands still.
+  /// The daemon is stopped or suspended until then.
   void NoteDaemonStop(const std::string& daemon, Common::TimePoint until);
-  /// Until then the daemon is restarted, stands still or is cut off.
+  /// The daemon is stopped, suspended or cut off from the store until then.
   void NoteDaemonDisturbance(const std::string& daemon, Common::TimePoint until);
-  /// Until then some daemon is not in touch with the others or the store.
+  /// Some daemon cannot reach other daemons or the store until then.
   void NoteDisturbance(Common::TimePoint until);
+  /// Records and prints a violation.
   void Break(const std::string& what);
 
   const std::vector<std::string>& Broken() const { return m_broken; }
@@ -70,26 +72,26 @@
   std::int64_t Refused() const { return m_refused; }
   std::int64_t Failed() const { return m_failed; }
   std::int64_t Orders() const { return m_orders; }
-  /// Requests that servers got whose limit all daemons had to know, and the most that they would
-  /// have taken.
+  /// Requests that arrived at servers whose rate limit the sending daemon had to know.
   std::int64_t LimitedArrivals() const { return m_limited_arrivals; }
-  /// How often servers have told a daemon that they leave, or want no requests.
+  /// How often servers have announced to a daemon that they are draining, or asked it to back off.
   int ToldOfLeaving() const { return m_told_of_leaving; }
   int ToldToBackOff() const { return m_told_to_back_off; }
-  /// A line a request that ends servers: how often it arrived, and how many ended.
+  /// One line per crashing request: its arrivals and the servers that it crashed.
   std::string DescribeCrashers() const;
-  /// Forgets the counts, not the promises.
+  /// Resets the counts of responses; the recorded requests and violations stay.
   void ResetCounts() { m_answered = m_refused = m_failed = 0; }
 
 private:
   struct Request
   {
     RequestType type = RequestType::Plain;
-    std::string daemon; ///< That was asked.
+    std::string daemon; ///< That the request was sent to.
     Common::TimePoint sent_at;
     int runs = 0;
-    bool promised_not_run = false;
+    bool promised_not_run = false; ///< The caller got status 429 or 503.
   };
+  /// The last order that a server received.
   struct ServerOrders
   {
     std::string holder;
@@ -99,9 +101,9 @@
 
   struct Crasher
   {
-    int ends = 0;     ///< Of servers, under it.
-    int arrivals = 0; ///< At servers.
-    int too_late = 0; ///< Arrivals when all daemons had to know of the third end.
+    int ends = 0;     ///< Servers that crashed while they ran it.
+    int arrivals = 0; ///< Requests that arrived at servers.
+    int too_late = 0; ///< Arrivals at a time when all daemons had to know of the third crash.
     Common::TimePoint third_end_at;
   };
 
@@ -109,11 +111,11 @@
   {
     double per_second = 0;
     Common::TimePoint named_at;
-    std::deque<Common::TimePoint> arrivals; ///< Of the last window.
+    std::deque<Common::TimePoint> arrivals; ///< Within the last window.
     bool broken = false;
   };
 
-  /// What one life of a server has told one daemon.
+  /// What one instance of a server has announced to one daemon.
   struct Told
   {
     struct Backoff
@@ -126,11 +128,12 @@
     std::vector<Backoff> backoffs;
   };
 
+  /// Reports a request that arrived at a server that must not get it.
   void BreakByArrival(std::string what, const std::string& id, const std::string& instance);
-  /// True where the daemon has run on since the moment.
+  /// Returns whether the daemon has been neither stopped nor suspended since the given time.
   bool HasRunSince(const std::string& daemon, Common::TimePoint moment) const;
 
-  std::map<std::pair<std::string, std::string>, Told> m_told; ///< By life and daemon.
+  std::map<std::pair<std::string, std::string>, Told> m_told; ///< By instance and daemon.
   std::map<std::string, Common::TimePoint> m_daemons_stopped_until;
   int m_told_of_leaving = 0;
   int m_told_to_back_off = 0;
--- a/Source/StandIns/Soak/Main.cpp
+++ b/Source/StandIns/Soak/Main.cpp
@@ -1,10 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// A randomized soak of the real daemons on the platform's face: separate processes on one machine,
-// stand-ins for the store, the backend servers and the callers in this one, and faults from outside
-// the daemons. What callers and backend servers see is checked while it runs. One seed gives one
-// series of faults.
+// A randomized soak test of the daemons behind the platform's interface. The daemons run as
+// separate processes on one machine; this process contains stand-ins for the store, the backend
+// servers and the callers, injects faults from outside the daemons, and checks while it runs what
+// callers and backend servers observe. The seed determines the series of faults.
 
 #include <algorithm>
 #include <array>
@@ -37,33 +37,34 @@
 using Common::Milliseconds;
 
 constexpr int SERVERS = 4;
-/// More than there are places; the first are asked for the most.
+/// More than fit on all servers together; requests prefer those with low numbers.
 constexpr int MODELS = 10;
-/// Places for models on all servers; after the faults no more models are asked for.
+/// Models that fit on all servers together; after the faults, requests use only as many.
 constexpr int PLACES_IN_ALL = 8;
 constexpr int FIRST_PORT = 8300;
 constexpr Milliseconds START_TIME{3000};
 constexpr Milliseconds CALM_BEFORE_CHECK{9000};
 constexpr Milliseconds CHECK_TIME{2500};
 constexpr Milliseconds REQUEST_GAP{12};
-/// Different requests that end the servers that run them, and the time between two of them.
+/// Number of different crashing requests, and the interval at which one of them is sent.
 constexpr int CRASHERS = 3;
 constexpr Milliseconds CRASHER_GAP{170};
+/// Time for other requests to complete before delayed crashing requests start.
 constexpr Milliseconds CALM_BEFORE_CRASHERS{2000};
-/// Requests a second that servers name, some of them near or at nothing.
+/// Rate limits that servers announce, in requests per second; some are zero or close to it.
 constexpr std::array LIMITS{0.0, 0.5, 1.0, 1.1, 3.0};
-/// How often a killed process is looked for.
+/// Interval at which a stopped daemon is polled for its exit.
 constexpr Milliseconds END_POLL{20};
-/// A link of 10 Mbit/s, as the weaker VMs have it.
+/// 10 Mbit/s, the link of the weaker VMs.
 constexpr std::int64_t WEAK_LINK_BYTES_PER_MS = 1250;
-/// Of the first configuration, and how many each change adds. Over a weak link the first takes 0.8
-/// s and each change 0.15 s more.
+/// Routes in the first configuration, and how many each change adds. Over a weak link the first
+/// configuration takes 0.8 s, and each change adds 0.15 s.
 constexpr int FIRST_ROUTES = 3500;
 constexpr int MORE_ROUTES = 700;
 constexpr int STATUS_OK = 200;
 constexpr double MS_PER_S = 1000;
 constexpr Http::Patience CALLER_PATIENCE{Milliseconds(6000), Milliseconds(6000)};
-/// After the faults, so many of 100 requests are served.
+/// Minimum percentage of requests that are served after the faults.
 constexpr std::int64_t SERVED_AFTER_FAULTS = 95;
 
 struct DaemonSlot
@@ -72,7 +73,7 @@
   std::string ip;
   int pid = 0;
   bool expected_to_run = true;
-  bool paused_in_stop = false;
+  bool paused_in_stop = false; ///< Was suspended after the signal to stop.
   std::unique_ptr<ScenarioRunner::Relay> store_path;
   std::unique_ptr<Http::Channel> callers;
 };
@@ -93,7 +94,7 @@
 
   void RestartServersUnderTheirId() { m_restarts_under_id = true; }
   void SendCrashingRequests() { m_crashers = CRASHERS; }
-  /// Crashing requests come when others have run to a good end.
+  /// Sends crashing requests only after other requests have had time to complete.
   void DelayCrashingRequests() { m_crashers_after = CALM_BEFORE_CRASHERS; }
   void LimitServers() { m_limits_servers = true; }
   void LetServersLeaveAndBackOff() { m_servers_leave = true; }
@@ -130,12 +131,13 @@
     m_processes.EndAll();
     std::cout << m_ledger.DescribeCrashers();
     if (m_limits_servers)
-      std::cout << m_ledger.LimitedArrivals() << " requests at servers whose limit was known\n";
+      std::cout << m_ledger.LimitedArrivals()
+                << " requests arrived at servers whose rate limit was known\n";
     if (m_servers_leave)
-      std::cout << m_ledger.ToldOfLeaving() << " times a daemon was told that a server leaves, "
-                << m_ledger.ToldToBackOff() << " times that it wants no requests\n";
+      std::cout << m_ledger.ToldOfLeaving() << " announcements that a server is draining, "
+                << m_ledger.ToldToBackOff() << " that it wants a backoff\n";
     std::cout << m_ledger.Orders() << " orders, " << m_fault_count << " faults, "
-              << m_ledger.Broken().size() << " broken\n";
+              << m_ledger.Broken().size() << " violations\n";
     return m_ledger.Broken().empty() ? 0 : 1;
   }
 
@@ -216,10 +218,11 @@
     std::exit(2);
   }
 
-  /// Names that do not follow from each other, so that changes stay long when they are compressed.
+  /// Returns a prefix that looks random, so that changes of the configuration stay large when
+  /// compressed.
   static std::string PrefixOf(int number)
   {
-    constexpr std::uint64_t SPREADER = 0x9E3779B97F4A7C15; // 2^64 over the golden ratio.
+    constexpr std::uint64_t SPREADER = 0x9E3779B97F4A7C15; // 2^64 divided by the golden ratio.
     std::string prefix(1, '/');
     prefix.append(std::to_string(static_cast<std::uint64_t>(number) * SPREADER));
     prefix.push_back('/');
@@ -302,8 +305,8 @@
                          });
   }
 
-  /// The same requests again and again, at any daemon, each time under a fresh id. They are no part
-  /// of what has to be served.
+  /// Sends the same few crashing requests repeatedly, to random daemons and each time under a new
+  /// id. They do not count for the share of requests that must be served.
   void SendCrasher()
   {
     if (m_stopped || m_crashers == 0)
@@ -334,7 +337,8 @@
       return;
     ++m_fault_count;
     Strike();
-    // Between faults all daemons get in touch again, so that what must hold then is seen.
+    // Longer pauses let all daemons reconnect between faults, which the check of crashing requests
+    // requires.
     const auto pause = m_crashers == 0 ? DrawMs(150, 1200) : DrawMs(150, 6000);
     After(pause, [this] {
       NextFault();
@@ -378,7 +382,7 @@
     }
   }
 
-  /// Now this, now that server takes only so many requests a second; it is asked for more.
+  /// Lets a random server announce a rate limit for a while, below the rate of requests.
   void LimitAServer()
   {
     if (m_stopped || Common::Now() >= m_faults_until)
@@ -393,8 +397,8 @@
     });
   }
 
-  /// Now one server leaves, whose entry still calls it ready, now one rejects everything for a
-  /// while and names a time.
+  /// Lets a random server either announce that it is draining, while its entry still says ready, or
+  /// reject all requests for a while with a Retry-After header.
   void LetAServerLeaveOrBackOff()
   {
     if (m_stopped || Common::Now() >= m_faults_until)
@@ -417,7 +421,7 @@
     });
   }
 
-  /// One line a signal, so that a failed run shows what met what.
+  /// Prints one line per signal, so that the output of a failed run shows which signals coincided.
   void Trace(const char* what, const DaemonSlot& daemon) const
   {
     const auto at = std::chrono::duration_cast<Milliseconds>(Common::Now() - m_started_at);
@@ -443,8 +447,9 @@
     });
   }
 
-  /// As the platform does: who has not stopped in its grace time is killed. A process that stood
-  /// still meanwhile could not stop; any other breaks its promise.
+  /// Starts the daemon again once its process has exited. Kills it if it has not exited within its
+  /// grace time, as the platform does. That is a violation unless the process was suspended
+  /// meanwhile and so could not stop.
   void EndAndLaunch(DaemonSlot& daemon)
   {
     if (m_processes.Ended(daemon.pid))
@@ -453,7 +458,7 @@
       return;
     }
     if (!daemon.paused_in_stop)
-      m_ledger.Break("did not stop in its grace time: " + daemon.name);
+      m_ledger.Break("did not stop within its grace time: " + daemon.name);
     m_processes.Signal(daemon.pid, SIGKILL);
     After(END_POLL, [this, &daemon] {
       EndAndLaunch(daemon);
@@ -462,7 +467,7 @@
 
   void Pause(DaemonSlot& daemon)
   {
-    Trace("pause", daemon);
+    Trace("suspend", daemon);
     daemon.paused_in_stop = !daemon.expected_to_run;
     m_processes.Signal(daemon.pid, SIGSTOP);
     const auto span = DrawMs(100, 6000);
@@ -525,7 +530,8 @@
         m_ledger.Break("ended by itself: " + daemon.name);
   }
 
-  /// The last change was made long ago: each daemon routes by it, over however weak a link.
+  /// Sends a request for the newest route to each daemon. The configuration was last changed long
+  /// enough ago for all daemons to have it, even over a weak link.
   void AskForNewestRoute()
   {
     for (DaemonSlot& daemon : m_daemons)
@@ -542,7 +548,7 @@
                              const int status = answer ? answer->status : 0;
                              m_ledger.NoteAnswer(id, status, answer ? answer->body : "");
                              if (status != STATUS_OK)
-                               m_ledger.Break("does not know the newest route: " + id);
+                               m_ledger.Break("daemon does not serve the newest route: " + id);
                            });
     }
   }
@@ -590,37 +596,38 @@
   Common::TimePoint m_started_at = Common::Now();
   Common::TimePoint m_faults_until;
   std::int64_t m_configuration = 0;
-  std::string m_newest_path; ///< Of the last route of the newest configuration.
+  std::string m_newest_path; ///< On the last route of the newest configuration.
   std::int64_t m_request_count = 0;
   int m_fault_count = 0;
   bool m_stopped = false;
   bool m_restarts_under_id = false;
   bool m_limits_servers = false;
   bool m_servers_leave = false;
-  int m_crashers = 0; ///< Requests that end servers.
+  int m_crashers = 0; ///< Number of different crashing requests.
   Milliseconds m_crashers_after{0};
-  std::uint64_t m_models = MODELS; ///< That are asked for.
+  std::uint64_t m_models = MODELS; ///< That requests use.
 };
 } // namespace
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options options("soak", "A randomized soak of the daemons with faults from outside");
-  options.add_options()("seed", "of the series of faults",
+  cxxopts::Options options("soak", "A randomized soak test of the daemons with fault injection");
+  options.add_options()("seed", "seed of the series of faults",
                         cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "seconds", "for which faults come", cxxopts::value<int>()->default_value("15"))(
-      "daemons", "at once", cxxopts::value<int>()->default_value("4"))(
-      "net", "first three numbers of the loopback addresses",
+      "seconds", "duration of the faults", cxxopts::value<int>()->default_value("15"))(
+      "daemons", "number of daemons", cxxopts::value<int>()->default_value("4"))(
+      "net", "first three octets of the loopback addresses",
       cxxopts::value<std::string>()->default_value("127.40.1"))(
-      "logs", "folder for the daemons' logs",
+      "logs", "directory for the logs of the daemons",
       cxxopts::value<std::string>()->default_value("build/soak"))(
-      "binary", "of the daemon",
+      "binary", "path of the daemon's program",
       cxxopts::value<std::string>()->default_value("build/bin/drumpondd"))(
-      "restarts-under-id", "half of the restarted servers keep their id")(
-      "crashing-requests", "requests that end the servers that run them come again and again")(
-      "late-crashing-requests", "they come when others have run to a good end")(
-      "limited-servers", "servers name how many requests a second they take")(
-      "leaving-servers", "servers say that they leave, or want no requests for a while");
+      "restarts-under-id", "about half of the restarted servers keep their id")(
+      "crashing-requests", "send requests repeatedly that crash the servers that run them")(
+      "late-crashing-requests",
+      "send crashing requests only after others have had time to complete")(
+      "limited-servers", "servers announce rate limits")(
+      "leaving-servers", "servers announce that they are draining, or ask daemons to back off");
   const auto parsed = options.parse(argc, argv);
   std::signal(SIGPIPE, SIG_IGN);
   Common::InitLog(argv[0]);
--- a/Source/StandIns/Soak/StandInServer.cpp
+++ b/Source/StandIns/Soak/StandInServer.cpp
@@ -14,16 +14,19 @@
 using Common::Json;
 using Common::Milliseconds;
 
-/// Models that fit a server at once; the configuration of the soak gives the same in MB.
+/// Models that fit into a server's memory. Must match the sizes in MB in the configuration of the
+/// soak test.
 constexpr std::size_t PLACES = 2;
 constexpr Milliseconds LOAD_TIME{200};
 constexpr Milliseconds UNLOAD_TIME{20};
 constexpr Milliseconds PLAIN_WORK{15};
 constexpr Milliseconds EVENT_TIME{8};
 constexpr int EVENTS = 25;
-constexpr std::uint64_t BREAKS_ONE_IN = 40; ///< Events at which a server that resets breaks off.
+/// With ServerMood::Resets, one in so many stream events resets the connection.
+constexpr std::uint64_t BREAKS_ONE_IN = 40;
+/// With ServerMood::LateOrders, orders are delayed by 1 s and a random time below this.
 constexpr std::uint64_t LATEST_ORDER_MS = 4000;
-/// From the begin of its run to the end of the server.
+/// Time from the start of a crashing request to the crash.
 constexpr Milliseconds CRASH_AFTER{5};
 constexpr Milliseconds DOWN_TIME{1500};
 
@@ -69,7 +72,7 @@
   BeginLife();
   After(until_gone, [this] {
     if (!Open())
-      m_ledger.Break("the stand-in server cannot listen again: " + m_name);
+      m_ledger.Break("stand-in server cannot listen after a crash: " + m_name);
     Restart();
   });
 }
@@ -301,7 +304,7 @@
   if (m_models.contains(model) == load)
     return 200;
   if (load && m_models.size() >= PLACES)
-    m_ledger.Break("ordered beyond its room: " + m_instance);
+    m_ledger.Break("load ordered on a server without free memory: " + m_instance);
   ++m_sequence;
   m_busy = true;
   After(load ? LOAD_TIME : UNLOAD_TIME, [this, model, load] {
--- a/Source/StandIns/Soak/StandInServer.h
+++ b/Source/StandIns/Soak/StandInServer.h
@@ -19,41 +19,46 @@
 
 namespace Soak
 {
-/// How a backend server behaves at the moment.
+/// The active fault of a backend server.
 enum class ServerMood
 {
-  Well,
-  Resets,     ///< Breaks off answers.
-  Silent,     ///< Takes requests and says nothing.
-  Sheds,      ///< Rejects requests before they run.
-  LateOrders, ///< Leaves orders unanswered and carries them out seconds later.
+  Well,       ///< No fault.
+  Resets,     ///< Resets some connections instead of or during the response.
+  Silent,     ///< Accepts requests and sends nothing.
+  Sheds,      ///< Rejects requests before they run, with status 503.
+  LateOrders, ///< Sends no response to orders and carries them out seconds later.
 };
 
-/// A stand-in for a backend server with a model engine: requests, streams, orders, its entry.
+/// A stand-in for a backend server with a model server: serves requests and streams, carries out
+/// orders, and writes its entry into the store.
 class StandInServer : public Http::RequestHandler
 {
 public:
   StandInServer(std::string name, Http::Endpoint endpoint, StandInStore& store, Ledger& ledger,
                 std::vector<std::string> models);
 
+  /// Listens and starts the first instance.
   Common::Result<Common::Done> Listen();
-  /// Ends every connection, forgets models and orders, and comes back as another instance.
+  /// Resets all connections, drops models and orders, and starts a new instance.
   void Restart();
-  /// The same, but it comes back under its id with a later start, and its entry tells of that only
-  /// after `until_entry`. Orders of before that it carries out late reach the new life.
+  /// The same, but the new instance has the id of the old one and a later start time, which its
+  /// entry shows only after `until_entry`. Delayed orders to the old instance are carried out by
+  /// the new one.
   void RestartUnderItsId(Common::Milliseconds until_entry);
+  /// Sets its entry to draining.
   void Drain();
-  /// The process ends: connections break and new ones are refused. Its entry stays for
-  /// `until_gone`; then it comes back as another instance.
+  /// Crashes: resets all connections and refuses new ones. The entry stays for `until_gone`, after
+  /// which a new instance starts.
   void Crash(Common::Milliseconds until_gone);
-  /// Bodies that begin so belong to requests that end every server that begins to run them.
+  /// Start of the body of crashing requests, which crash each server that starts to run them.
   static constexpr std::string_view CRASHER_PREFIX = "crash ";
   void SetMood(ServerMood mood) { m_mood = mood; }
-  /// Says in its answers from now on that it leaves, though its entry calls it ready.
+  /// Announces in its responses from now on that it is draining, while its entry still says ready.
   void AnnounceEnd();
-  /// Names in its rejections from now on the seconds for which it wants no request; nothing: none.
+  /// Adds a Retry-After header of so many seconds to its rejections (status 503) from now on;
+  /// nullopt: no header.
   void SetRetryAfter(std::optional<double> seconds) { m_retry_after = seconds; }
-  /// Names in its answers from now on how many requests a second it takes; nothing: no limit.
+  /// Announces a rate limit in requests per second in its responses from now on; nullopt: no limit.
   void SetLimit(std::optional<double> per_second);
 
   void OnRequest(const std::shared_ptr<Http::ServerConnection>& connection,
@@ -64,18 +69,24 @@
 private:
   using Connection = std::shared_ptr<Http::ServerConnection>;
 
+  /// Ends the current instance: drops its models, rate limit and drain announcement, and resets all
+  /// connections.
   void BeginLife();
   Common::Result<Common::Done> Open();
   void WriteEntry();
-  /// The answer to the request says that the server leaves.
+  /// Records an announcement in the response to the request, if the server announces that it is
+  /// draining.
   void NoteAnnouncement(const std::string& id);
   void Serve(const Connection& connection, const Http::ReceivedRequest& request);
   void Stream(const Connection& connection, const std::string& id, int event);
   void TakeOrder(const Connection& connection, const Http::ReceivedRequest& request);
+  /// Carries out an order; returns the status of the response.
   int Carry(const Common::Json& order);
+  /// Responds that the request has not run.
   void Reject(const Connection& connection, int status, const std::string& id);
+  /// Calls the callback after the delay, unless the instance has ended by then.
   void After(Common::Milliseconds delay, std::function<void()> callback);
-  /// `headers` with those that all answers to requests have.
+  /// Adds the headers that all responses to requests have.
   std::vector<Http::HeaderField> AnswerHeaders(std::vector<Http::HeaderField> headers) const;
 
   std::string m_name;
@@ -89,12 +100,12 @@
   std::vector<std::string> m_disk;
   std::set<std::string> m_models;
   std::int64_t m_sequence = 0;
-  std::int64_t m_born = 0; ///< Unix milliseconds of this life's start.
+  std::int64_t m_born = 0; ///< Start of this instance, Unix time in milliseconds.
   bool m_busy = false;
   bool m_draining = false;
-  int m_life = 0;
+  int m_life = 0; ///< Number of instances so far.
   ServerMood m_mood = ServerMood::Well;
-  std::optional<double> m_limit;       ///< Requests a second.
+  std::optional<double> m_limit;       ///< Requests per second.
   std::optional<double> m_retry_after; ///< Seconds.
   bool m_announces_end = false;
 };
--- a/Source/StandIns/Soak/StandInStore.cpp
+++ b/Source/StandIns/Soak/StandInStore.cpp
@@ -16,7 +16,7 @@
 {
 using Common::Json;
 
-/// One in so many writes loses its answer while the store loses some.
+/// With StoreMood::LosesSome, one in so many writes gets no response.
 constexpr std::uint64_t LOSES_ONE_IN = 3;
 
 std::string QueryValue(const std::string& target, const std::string& name)
--- a/Source/StandIns/Soak/StandInStore.h
+++ b/Source/StandIns/Soak/StandInStore.h
@@ -15,16 +15,17 @@
 
 namespace Soak
 {
-/// How the store behaves at the moment.
+/// The active fault of the store.
 enum class StoreMood
 {
-  Well,
-  Busy,      ///< Every call is answered with 503.
-  Silent,    ///< No call is answered.
-  LosesSome, ///< Some writes take effect and are not answered.
+  Well,      ///< No fault.
+  Busy,      ///< Responds to all new calls with status 503.
+  Silent,    ///< Sends no response to new calls.
+  LosesSome, ///< Applies some writes, but resets the connection instead of the response.
 };
 
-/// A stand-in for the platform's store: rows with versions, feeds that wait, compare-and-set.
+/// A stand-in for the platform's store: rows with versions, long-polling feeds and conditional
+/// writes.
 class StandInStore : public Http::RequestHandler
 {
 public:
@@ -33,7 +34,8 @@
   void Put(const std::string& table, const std::string& key, const Common::Json& value);
   void Remove(const std::string& table, const std::string& key);
   void SetMood(StoreMood mood) { m_mood = mood; }
-  /// Forgets its history: feeds that wait, and those that ask for older changes, are told so.
+  /// Drops the history of changes: pending feeds, and later ones that ask for older changes, get
+  /// status 410.
   void DropHistory();
 
   void OnRequest(const std::shared_ptr<Http::ServerConnection>& connection,
@@ -48,6 +50,7 @@
     std::int64_t version = 0;
     bool removed = false;
   };
+  /// A feed without changes so far.
   struct Waiter
   {
     std::string table;
@@ -56,12 +59,14 @@
     Common::OwnedTimer timer;
   };
 
+  /// Writes a row and responds to the feeds that wait for changes of its table.
   void Write(const std::string& table, const std::string& key, Row row);
   void Read(const std::shared_ptr<Http::ServerConnection>& connection, const std::string& table,
             const std::string& first_key);
   void Feed(const std::shared_ptr<Http::ServerConnection>& connection, const std::string& table,
             std::int64_t after, Common::Milliseconds wait);
   void Transact(const std::shared_ptr<Http::ServerConnection>& connection, const std::string& body);
+  /// Responds with the rows changed after a version; returns false if there are none.
   bool AnswerFeed(const std::shared_ptr<Http::ServerConnection>& connection,
                   const std::string& table, std::int64_t after);
   Common::Json RowJson(const std::string& table, const std::string& key, const Row& row) const;
