--- a/Source/StandIns/BackendServer/Main.cpp
+++ b/Source/StandIns/BackendServer/Main.cpp
@@ -14,7 +14,7 @@
 
 #include "Common/Loop.h"
 #include "Common/Random.h"
-#include "StandIns/Kit/StandIn.h"
+#include "StandIns/Support/StandInProgram.h"
 
 namespace
 {
@@ -73,13 +73,13 @@
   std::set<std::string> cut;
 };
 
-class Engine
+class ModelServer
 {
 public:
-  explicit Engine(Settings settings) : m_settings(std::move(settings))
+  explicit ModelServer(Settings settings) : m_settings(std::move(settings))
   {
     m_on_disk = m_settings.on_disk;
-    SampleLoad();
+    UpdateReportedLoad();
     if (!m_settings.weight_store.empty())
       Common::Spawn(PostLedger({{"vm", m_settings.vm}, {"reset", true}}));
   }
@@ -146,18 +146,18 @@
     const std::string model = GetOr(body, "model", std::string());
     const auto found = m_artifacts.find(model);
     if (found == m_artifacts.end() || found->second.state != "loaded")
-      co_return Decline(*exchange, 404, "model_not_loaded");
+      co_return Reject(*exchange, 404, "model_not_loaded");
     if (m_running >= m_settings.max_running)
-      co_return Decline(*exchange, 429, "overloaded");
+      co_return Reject(*exchange, 429, "overloaded");
     const std::string request = exchange->Header("x-request-id");
     ++m_runs[request];
     ++m_running;
     ++found->second.running;
     ++found->second.served;
-    std::string answered = request;
+    std::string response_id = request;
     if (m_faults.cross)
-      answered = "crossed";
-    co_await Generate(exchange, body, answered);
+      response_id = "crossed";
+    co_await Generate(exchange, body, response_id);
     --m_running;
     // An unload waits for running requests, so the artifact is still loaded.
     Artifact& artifact = m_artifacts[model];
@@ -242,7 +242,7 @@
       std::_Exit(1);
     const Json entry = {{"vm", m_settings.vm}, {"artifact", id}, {"loaded", true}};
     co_await PostLedger(entry);
-    co_await Transfer(id);
+    co_await LoadWeights(id);
     m_artifacts[id].state = "loaded";
     m_artifacts[id].last_used = Common::Now();
     m_artifacts[id].loaded_at = Common::Now();
@@ -254,7 +254,7 @@
     exchange->RespondJson(200, {{"state", "loaded"}});
   }
 
-  Task<void> Transfer(std::string id)
+  Task<void> LoadWeights(std::string id)
   {
     if (m_in_memory.contains(id))
       co_await Common::Sleep{Milliseconds(m_settings.memory_load_ms)};
@@ -284,7 +284,7 @@
     exchange->RespondJson(200, {{"state", "absent"}});
   }
 
-  static void Decline(Http::Exchange& exchange, int status, const char* type)
+  static void Reject(Http::Exchange& exchange, int status, const char* type)
   {
     exchange.RespondJson(status, {{"error", {{"type", type}}}});
   }
@@ -297,7 +297,7 @@
     if (GetOr(body, "stream", false))
       co_await Stream(exchange, request, tokens);
     else
-      co_await AnswerWhole(exchange, request, tokens);
+      co_await SendCompleteResponse(exchange, request, tokens);
   }
 
   static std::string Token(const std::string& request, int index)
@@ -332,7 +332,7 @@
     exchange->EndStream();
   }
 
-  Task<void> AnswerWhole(Http::ExchangePtr exchange, std::string request, int tokens)
+  Task<void> SendCompleteResponse(Http::ExchangePtr exchange, std::string request, int tokens)
   {
     co_await Common::Sleep{Milliseconds(m_settings.token_ms * tokens)};
     while (m_faults.stall && !exchange->IsClosed())
@@ -350,7 +350,7 @@
 
   /// Updates the reported number of running requests once per report lag, and sums up the time for
   /// which artifacts were loaded and busy.
-  void SampleLoad()
+  void UpdateReportedLoad()
   {
     const Milliseconds period(std::max(10, m_settings.report_lag_ms));
     m_reported_running = m_running;
@@ -360,7 +360,7 @@
       m_busy_ms += artifact.running > 0 ? period.count() : 0;
     }
     Common::CallAfter(period, [this] {
-      SampleLoad();
+      UpdateReportedLoad();
     });
   }
 
@@ -428,19 +428,19 @@
     return 2;
   }
   Common::InitLog(argv[0]);
-  Engine engine(ReadSettings(parsed));
+  ModelServer model_server(ReadSettings(parsed));
   Http::Server server({});
-  server.Handle("/v1/engine/report", [&engine](Http::ExchangePtr exchange) {
-    return engine.Report(exchange);
+  server.Handle("/v1/engine/report", [&model_server](Http::ExchangePtr exchange) {
+    return model_server.Report(exchange);
   });
-  server.Handle("/v1/engine/orders", [&engine](Http::ExchangePtr exchange) {
-    return engine.Order(exchange);
+  server.Handle("/v1/engine/orders", [&model_server](Http::ExchangePtr exchange) {
+    return model_server.Order(exchange);
   });
-  server.Handle("/v1/chat/completions", [&engine](Http::ExchangePtr exchange) {
-    return engine.Chat(exchange);
+  server.Handle("/v1/chat/completions", [&model_server](Http::ExchangePtr exchange) {
+    return model_server.Chat(exchange);
   });
-  server.Handle("/control", [&engine](Http::ExchangePtr exchange) {
-    return engine.Control(exchange);
+  server.Handle("/control", [&model_server](Http::ExchangePtr exchange) {
+    return model_server.Control(exchange);
   });
-  return StandIns::Serve(server, parsed);
+  return StandIns::ListenAndRun(server, parsed);
 }
--- a/Source/StandIns/PlainService/Main.cpp
+++ b/Source/StandIns/PlainService/Main.cpp
@@ -8,7 +8,7 @@
 #include <map>
 
 #include "Common/Loop.h"
-#include "StandIns/Kit/StandIn.h"
+#include "StandIns/Support/StandInProgram.h"
 
 namespace
 {
@@ -21,7 +21,7 @@
 public:
   Task<void> Call(Http::ExchangePtr exchange)
   {
-    if (m_refuse)
+    if (m_rejects)
     {
       exchange->RespondJson(503, {{"error", "refused before running"}}, {{"x-ran", "not_run"}});
       co_return;
@@ -32,30 +32,30 @@
     ++m_runs_by_request[request];
     if (!key.empty())
       ++m_runs_by_key[key];
-    if (m_late_ms > 0)
-      co_await Common::Sleep{Common::Milliseconds(m_late_ms)};
-    if (m_cut > 0)
+    if (m_response_delay_ms > 0)
+      co_await Common::Sleep{Common::Milliseconds(m_response_delay_ms)};
+    if (m_lost_responses_left > 0)
     {
-      --m_cut;
+      --m_lost_responses_left;
       exchange->Abort();
       co_return;
     }
-    const std::string answered = m_cross ? "someone-else" : request;
+    const std::string response_id = m_sends_wrong_id ? "someone-else" : request;
     exchange->RespondJson(200,
                           {{"number", number},
                            {"path", exchange->Path()},
                            {"tracking", "T" + std::to_string(number)},
-                           {"request", answered}},
-                          {{"x-request-id", answered}});
+                           {"request", response_id}},
+                          {{"x-request-id", response_id}});
   }
 
   Task<void> Control(Http::ExchangePtr exchange)
   {
     const Json body = Common::ParseJson(exchange->Body()).value_or(Json::object());
-    m_late_ms = GetOr(body, "late_ms", m_late_ms);
-    m_cut = GetOr(body, "cut", m_cut);
-    m_refuse = GetOr(body, "refuse", m_refuse);
-    m_cross = GetOr(body, "cross", m_cross);
+    m_response_delay_ms = GetOr(body, "late_ms", m_response_delay_ms);
+    m_lost_responses_left = GetOr(body, "cut", m_lost_responses_left);
+    m_rejects = GetOr(body, "refuse", m_rejects);
+    m_sends_wrong_id = GetOr(body, "cross", m_sends_wrong_id);
     exchange->RespondJson(200, {{"calls", m_calls},
                                 {"runs_by_request", m_runs_by_request},
                                 {"runs_by_key", m_runs_by_key}});
@@ -64,10 +64,10 @@
 
 private:
   int m_calls = 0;
-  int m_late_ms = 0;
-  int m_cut = 0; ///< So many of the next calls run, but get no response.
-  bool m_refuse = false;
-  bool m_cross = false; ///< Responds under a wrong request id.
+  int m_response_delay_ms = 0;
+  int m_lost_responses_left = 0; ///< So many of the next calls run, but get no response.
+  bool m_rejects = false;
+  bool m_sends_wrong_id = false; ///< Responds under a wrong request id.
   std::map<std::string, int> m_runs_by_request;
   std::map<std::string, int> m_runs_by_key;
 };
@@ -87,5 +87,5 @@
   server.Handle("/control", [&service](Http::ExchangePtr exchange) {
     return service.Control(exchange);
   });
-  return StandIns::Serve(server, parsed);
+  return StandIns::ListenAndRun(server, parsed);
 }
--- a/Source/StandIns/Platform/Main.cpp
+++ b/Source/StandIns/Platform/Main.cpp
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "Common/Loop.h"
-#include "StandIns/Kit/StandIn.h"
+#include "StandIns/Support/StandInProgram.h"
 
 namespace
 {
@@ -88,7 +88,7 @@
     if (body.contains("vms_for"))
       m_vms_for = body["vms_for"];
     if (body.contains("vms"))
-      ShowVmsLater(body["vms"]);
+      PublishVmsAfterLag(body["vms"]);
     exchange->RespondJson(200, Json::object());
   }
 
@@ -108,7 +108,7 @@
     return rows;
   }
 
-  void ShowVmsLater(Json vms)
+  void PublishVmsAfterLag(Json vms)
   {
     Common::CallAfter(m_vm_lag, [this, vms = std::move(vms)] {
       m_visible_vms = vms;
@@ -243,5 +243,5 @@
   server.Handle("/control", [&platform](Http::ExchangePtr exchange) {
     return platform.Control(exchange);
   });
-  return StandIns::Serve(server, parsed);
+  return StandIns::ListenAndRun(server, parsed);
 }
--- a/Source/StandIns/Soak/Main.cpp
+++ b/Source/StandIns/Soak/Main.cpp
@@ -26,7 +26,7 @@
 #include "Http/Channel.h"
 #include "ScenarioRunner/Processes.h"
 #include "ScenarioRunner/Relay.h"
-#include "StandIns/Soak/Ledger.h"
+#include "StandIns/Soak/InvariantChecker.h"
 #include "StandIns/Soak/StandInServer.h"
 #include "StandIns/Soak/StandInStore.h"
 
@@ -40,42 +40,42 @@
 /// More than fit on all servers together; requests prefer those with low numbers.
 constexpr int MODELS = 10;
 /// Models that fit on all servers together; after the faults, requests use only as many.
-constexpr int PLACES_IN_ALL = 8;
+constexpr int TOTAL_MODEL_CAPACITY = 8;
 constexpr int FIRST_PORT = 8300;
-constexpr Milliseconds START_TIME{3000};
-constexpr Milliseconds CALM_BEFORE_CHECK{9000};
-constexpr Milliseconds CHECK_TIME{2500};
-constexpr Milliseconds REQUEST_GAP{12};
+constexpr Milliseconds STARTUP_TIME{3000};
+constexpr Milliseconds RECOVERY_TIME{9000};
+constexpr Milliseconds CHECK_DURATION{2500};
+constexpr Milliseconds REQUEST_INTERVAL{12};
 /// Number of different crashing requests, and the interval at which one of them is sent.
-constexpr int CRASHERS = 3;
-constexpr Milliseconds CRASHER_GAP{170};
+constexpr int CRASHING_REQUESTS = 3;
+constexpr Milliseconds CRASHING_REQUEST_INTERVAL{170};
 /// Time for other requests to complete before delayed crashing requests start.
-constexpr Milliseconds CALM_BEFORE_CRASHERS{2000};
+constexpr Milliseconds CRASHING_REQUEST_DELAY{2000};
 /// Rate limits that servers announce, in requests per second; some are zero or close to it.
-constexpr std::array LIMITS{0.0, 0.5, 1.0, 1.1, 3.0};
+constexpr std::array RATE_LIMITS{0.0, 0.5, 1.0, 1.1, 3.0};
 /// Interval at which a stopped daemon is polled for its exit.
-constexpr Milliseconds END_POLL{20};
+constexpr Milliseconds EXIT_POLL_INTERVAL{20};
 /// 10 Mbit/s, the link of the weaker VMs.
 constexpr std::int64_t WEAK_LINK_BYTES_PER_MS = 1250;
 /// Routes in the first configuration, and how many each change adds. Over a weak link the first
 /// configuration takes 0.8 s, and each change adds 0.15 s.
-constexpr int FIRST_ROUTES = 3500;
-constexpr int MORE_ROUTES = 700;
+constexpr int INITIAL_ROUTES = 3500;
+constexpr int ROUTES_PER_CHANGE = 700;
 constexpr int STATUS_OK = 200;
 constexpr double MS_PER_S = 1000;
-constexpr Http::Patience CALLER_PATIENCE{Milliseconds(6000), Milliseconds(6000)};
+constexpr Http::Patience CALLER_TIMEOUTS{Milliseconds(6000), Milliseconds(6000)};
 /// Minimum percentage of requests that are served after the faults.
-constexpr std::int64_t SERVED_AFTER_FAULTS = 95;
+constexpr std::int64_t MIN_SERVED_PERCENT = 95;
 
-struct DaemonSlot
+struct DaemonProcess
 {
   std::string name;
   std::string ip;
   int pid = 0;
   bool expected_to_run = true;
-  bool paused_in_stop = false; ///< Was suspended after the signal to stop.
-  std::unique_ptr<ScenarioRunner::Relay> store_path;
-  std::unique_ptr<Http::Channel> callers;
+  bool suspended_while_stopping = false; ///< Was suspended after the signal to stop.
+  std::unique_ptr<ScenarioRunner::Relay> store_relay;
+  std::unique_ptr<Http::Channel> caller_channel;
 };
 
 class SoakRun
@@ -92,53 +92,53 @@
     m_daemons.resize(static_cast<std::size_t>(daemons));
   }
 
-  void RestartServersUnderTheirId() { m_restarts_under_id = true; }
-  void SendCrashingRequests() { m_crashers = CRASHERS; }
+  void RestartServersWithSameId() { m_restarts_with_same_id = true; }
+  void SendCrashingRequests() { m_crashing_request_count = CRASHING_REQUESTS; }
   /// Sends crashing requests only after other requests have had time to complete.
-  void DelayCrashingRequests() { m_crashers_after = CALM_BEFORE_CRASHERS; }
-  void LimitServers() { m_limits_servers = true; }
-  void LetServersLeaveAndBackOff() { m_servers_leave = true; }
+  void DelayCrashingRequests() { m_crashing_request_delay = CRASHING_REQUEST_DELAY; }
+  void RateLimitServers() { m_rate_limits_servers = true; }
+  void DrainAndBackOffServers() { m_drains_and_backs_off_servers = true; }
 
-  int Run(Milliseconds faults_for)
+  int Run(Milliseconds faults_duration)
   {
     Start();
-    After(START_TIME, [this] {
+    After(STARTUP_TIME, [this] {
       SendRequests();
     });
-    After(START_TIME + m_crashers_after, [this] {
-      SendCrasher();
+    After(STARTUP_TIME + m_crashing_request_delay, [this] {
+      SendCrashingRequest();
     });
-    After(START_TIME, [this, faults_for] {
-      m_faults_until = Common::Now() + faults_for;
-      NextFault();
-      if (m_limits_servers)
-        LimitAServer();
-      if (m_servers_leave)
-        LetAServerLeaveOrBackOff();
+    After(STARTUP_TIME, [this, faults_duration] {
+      m_faults_until = Common::Now() + faults_duration;
+      InjectNextFault();
+      if (m_rate_limits_servers)
+        RateLimitRandomServer();
+      if (m_drains_and_backs_off_servers)
+        DrainOrBackOffRandomServer();
     });
-    const auto calm = START_TIME + faults_for;
-    After(calm, [this] {
-      CalmDown();
+    const auto faults_end = STARTUP_TIME + faults_duration;
+    After(faults_end, [this] {
+      EndFaults();
     });
-    After(calm + CALM_BEFORE_CHECK, [this] {
-      m_ledger.ResetCounts();
-      AskForNewestRoute();
+    After(faults_end + RECOVERY_TIME, [this] {
+      m_checker.ResetCounts();
+      CheckNewestRoute();
     });
-    After(calm + CALM_BEFORE_CHECK + CHECK_TIME, [this] {
-      Judge();
+    After(faults_end + RECOVERY_TIME + CHECK_DURATION, [this] {
+      CheckResults();
     });
     g_main_loop_run(m_loop);
     m_processes.EndAll();
-    std::cout << m_ledger.DescribeCrashers();
-    if (m_limits_servers)
-      std::cout << m_ledger.LimitedArrivals()
+    std::cout << m_checker.DescribeCrashingRequests();
+    if (m_rate_limits_servers)
+      std::cout << m_checker.RateLimitedArrivals()
                 << " requests arrived at servers whose rate limit was known\n";
-    if (m_servers_leave)
-      std::cout << m_ledger.ToldOfLeaving() << " announcements that a server is draining, "
-                << m_ledger.ToldToBackOff() << " that it wants a backoff\n";
-    std::cout << m_ledger.Orders() << " orders, " << m_fault_count << " faults, "
-              << m_ledger.Broken().size() << " violations\n";
-    return m_ledger.Broken().empty() ? 0 : 1;
+    if (m_drains_and_backs_off_servers)
+      std::cout << m_checker.DrainAnnouncements() << " announcements that a server is draining, "
+                << m_checker.BackoffAnnouncements() << " that it wants a backoff\n";
+    std::cout << m_checker.Orders() << " orders, " << m_fault_count << " faults, "
+              << m_checker.Violations().size() << " violations\n";
+    return m_checker.Violations().empty() ? 0 : 1;
   }
 
 private:
@@ -151,10 +151,10 @@
   {
     return Milliseconds(least + Draw(most - least));
   }
-  DaemonSlot& AnyDaemon() { return m_daemons[Draw(m_daemons.size())]; }
-  StandInServer& AnyServer() { return *m_servers[Draw(m_servers.size())]; }
+  DaemonProcess& RandomDaemon() { return m_daemons[Draw(m_daemons.size())]; }
+  StandInServer& RandomServer() { return *m_servers[Draw(m_servers.size())]; }
 
-  Http::Endpoint At(const std::string& ip, int port)
+  Http::Endpoint EndpointAt(const std::string& ip, int port)
   {
     return *Http::Endpoint::Parse(ip + ":" + std::to_string(port));
   }
@@ -162,16 +162,17 @@
   void Start()
   {
     const std::string store_ip = m_net + ".1";
-    Must(static_cast<bool>(m_store.Listen(At(store_ip, FIRST_PORT))), "store");
+    RequireStarted(static_cast<bool>(m_store.Listen(EndpointAt(store_ip, FIRST_PORT))), "store");
     std::vector<std::string> models;
     models.reserve(MODELS);
     for (int i = 0; i < MODELS; ++i)
       models.push_back("m" + std::to_string(i));
     for (int i = 0; i < SERVERS; ++i)
     {
-      m_servers.push_back(std::make_unique<StandInServer>(
-          "s" + std::to_string(i), At(m_net + ".2", FIRST_PORT + i), m_store, m_ledger, models));
-      Must(static_cast<bool>(m_servers.back()->Listen()), "server");
+      m_servers.push_back(std::make_unique<StandInServer>("s" + std::to_string(i),
+                                                          EndpointAt(m_net + ".2", FIRST_PORT + i),
+                                                          m_store, m_checker, models));
+      RequireStarted(static_cast<bool>(m_servers.back()->Listen()), "server");
     }
     PutConfiguration();
     for (std::size_t i = 0; i < m_daemons.size(); ++i)
@@ -180,16 +181,16 @@
 
   void StartDaemon(std::size_t index, const std::string& store_ip)
   {
-    DaemonSlot& daemon = m_daemons[index];
+    DaemonProcess& daemon = m_daemons[index];
     daemon.name = "vm-" + std::to_string(index);
     daemon.ip = m_net + "." + std::to_string(10 + index);
     const std::string path_ip = m_net + "." + std::to_string(100 + index);
-    daemon.store_path = std::make_unique<ScenarioRunner::Relay>(
+    daemon.store_relay = std::make_unique<ScenarioRunner::Relay>(
         path_ip + ":" + std::to_string(FIRST_PORT), store_ip + ":" + std::to_string(FIRST_PORT));
-    Must(static_cast<bool>(daemon.store_path->Open()), "relay");
+    RequireStarted(static_cast<bool>(daemon.store_relay->Open()), "relay");
     if (index % 2 == 1)
-      daemon.store_path->SetRate(WEAK_LINK_BYTES_PER_MS);
-    daemon.callers = std::make_unique<Http::Channel>(At(daemon.ip, FIRST_PORT + 1));
+      daemon.store_relay->SetRate(WEAK_LINK_BYTES_PER_MS);
+    daemon.caller_channel = std::make_unique<Http::Channel>(EndpointAt(daemon.ip, FIRST_PORT + 1));
     const Json settings = {{"nodeName", daemon.name},
                            {"zone", "z1"},
                            {"portRange", {FIRST_PORT + 4, FIRST_PORT + 9}},
@@ -202,7 +203,7 @@
     Launch(daemon);
   }
 
-  void Launch(DaemonSlot& daemon)
+  void Launch(DaemonProcess& daemon)
   {
     setenv("DRUMPOND_BOOT", (m_logs + "/" + daemon.name + ".json").c_str(), 1);
     setenv("DRUMPOND_METRICS_PORT", std::to_string(FIRST_PORT + 3).c_str(), 1);
@@ -210,7 +211,7 @@
     daemon.expected_to_run = true;
   }
 
-  static void Must(bool done, const char* what)
+  static void RequireStarted(bool done, const char* what)
   {
     if (done)
       return;
@@ -220,11 +221,11 @@
 
   /// Returns a prefix that looks random, so that changes of the configuration stay large when
   /// compressed.
-  static std::string PrefixOf(int number)
+  static std::string RoutePrefix(int number)
   {
-    constexpr std::uint64_t SPREADER = 0x9E3779B97F4A7C15; // 2^64 divided by the golden ratio.
+    constexpr std::uint64_t MULTIPLIER = 0x9E3779B97F4A7C15; // 2^64 divided by the golden ratio.
     std::string prefix(1, '/');
-    prefix.append(std::to_string(static_cast<std::uint64_t>(number) * SPREADER));
+    prefix.append(std::to_string(static_cast<std::uint64_t>(number) * MULTIPLIER));
     prefix.push_back('/');
     return prefix;
   }
@@ -251,12 +252,13 @@
                    route("/once/", "non_idempotent", 1, false, false),
                    route("/stream/", "streaming", 2, true, true),
                    route("/one/", "streaming", 1, true, false)};
-    const int more = FIRST_ROUTES + MORE_ROUTES * static_cast<int>(m_configuration);
-    for (int i = 0; i < more; ++i)
-      routes.push_back(route(PrefixOf(i), "idempotent", 2, false, false));
-    m_newest_path = PrefixOf(more - 1) + "x";
+    const int route_count =
+        INITIAL_ROUTES + ROUTES_PER_CHANGE * static_cast<int>(m_configuration_version);
+    for (int i = 0; i < route_count; ++i)
+      routes.push_back(route(RoutePrefix(i), "idempotent", 2, false, false));
+    m_newest_path = RoutePrefix(route_count - 1) + "x";
     m_store.Put("op", "config",
-                {{"version", ++m_configuration},
+                {{"version", ++m_configuration_version},
                  {"routes", routes},
                  {"services",
                   {{{"name", "pool"},
@@ -274,15 +276,15 @@
   {
     if (m_stopped)
       return;
-    SendOne();
-    After(REQUEST_GAP, [this] {
+    SendRequest();
+    After(REQUEST_INTERVAL, [this] {
       SendRequests();
     });
   }
 
-  void SendOne()
+  void SendRequest()
   {
-    DaemonSlot& daemon = AnyDaemon();
+    DaemonProcess& daemon = RandomDaemon();
     if (!daemon.expected_to_run)
       return;
     const auto type = static_cast<RequestType>(Draw(4));
@@ -292,121 +294,123 @@
                                PATHS[static_cast<int>(type)],
                                {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
                                "body"};
-    if (type == RequestType::Stream || type == RequestType::OnceStream)
+    if (type == RequestType::ResumableStream || type == RequestType::NonRepeatableStream)
       request.headers.push_back(
-          {"Model", "m" + std::to_string(std::min(Draw(m_models), Draw(m_models)))});
-    m_ledger.NoteSent(id, type, daemon.name);
-    daemon.callers->Call(request, CALLER_PATIENCE,
-                         [this, id](Common::Result<Http::WholeAnswer> answer) {
-                           if (answer)
-                             m_ledger.NoteAnswer(id, answer->status, answer->body);
-                           else
-                             m_ledger.NoteAnswer(id, 0, "");
-                         });
+          {"Model",
+           "m" + std::to_string(std::min(Draw(m_requested_models), Draw(m_requested_models)))});
+    m_checker.RecordSent(id, type, daemon.name);
+    daemon.caller_channel->Call(request, CALLER_TIMEOUTS,
+                                [this, id](Common::Result<Http::WholeAnswer> response) {
+                                  if (response)
+                                    m_checker.RecordResponse(id, response->status, response->body);
+                                  else
+                                    m_checker.RecordResponse(id, 0, "");
+                                });
   }
 
   /// Sends the same few crashing requests repeatedly, to random daemons and each time under a new
   /// id. They do not count for the share of requests that must be served.
-  void SendCrasher()
+  void SendCrashingRequest()
   {
-    if (m_stopped || m_crashers == 0)
+    if (m_stopped || m_crashing_request_count == 0)
       return;
-    DaemonSlot& daemon = AnyDaemon();
-    const auto number = Draw(static_cast<std::uint64_t>(m_crashers));
+    DaemonProcess& daemon = RandomDaemon();
+    const auto number = Draw(static_cast<std::uint64_t>(m_crashing_request_count));
     const std::string id = "c" + std::to_string(++m_request_count);
     const bool is_plain = number == 0;
     Http::WholeRequest request{
         "POST",
         is_plain ? "/plain/x" : "/stream/x",
         {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
-        std::string(StandInServer::CRASHER_PREFIX).append(std::to_string(number))};
+        std::string(StandInServer::CRASHING_BODY_PREFIX).append(std::to_string(number))};
     if (!is_plain)
       request.headers.push_back({"Model", "m" + std::to_string(number - 1)});
-    m_ledger.NoteSent(id, is_plain ? RequestType::Plain : RequestType::Stream, daemon.name);
+    m_checker.RecordSent(id, is_plain ? RequestType::Repeatable : RequestType::ResumableStream,
+                         daemon.name);
     if (daemon.expected_to_run)
-      daemon.callers->Call(request, CALLER_PATIENCE, [](const auto&) {});
-    After(CRASHER_GAP, [this] {
-      SendCrasher();
+      daemon.caller_channel->Call(request, CALLER_TIMEOUTS, [](const auto&) {});
+    After(CRASHING_REQUEST_INTERVAL, [this] {
+      SendCrashingRequest();
     });
   }
 
-  void NextFault()
+  void InjectNextFault()
   {
-    CheckProcesses();
+    CheckDaemonsAreRunning();
     if (Common::Now() >= m_faults_until)
       return;
     ++m_fault_count;
-    Strike();
+    InjectFault();
     // Longer pauses let all daemons reconnect between faults, which the check of crashing requests
     // requires.
-    const auto pause = m_crashers == 0 ? DrawMs(150, 1200) : DrawMs(150, 6000);
+    const auto pause = m_crashing_request_count == 0 ? DrawMs(150, 1200) : DrawMs(150, 6000);
     After(pause, [this] {
-      NextFault();
+      InjectNextFault();
     });
   }
 
-  void Strike()
+  void InjectFault()
   {
     switch (Draw(11))
     {
     case 0:
-      StopAndRestart(AnyDaemon(), SIGKILL);
+      StopAndRestart(RandomDaemon(), SIGKILL);
       break;
     case 1:
-      StopAndRestart(AnyDaemon(), SIGTERM);
+      StopAndRestart(RandomDaemon(), SIGTERM);
       break;
     case 2:
-      Pause(AnyDaemon());
+      Suspend(RandomDaemon());
       break;
     case 3:
-      m_processes.Signal(AnyDaemon().pid, SIGHUP);
+      m_processes.Signal(RandomDaemon().pid, SIGHUP);
       PutConfiguration();
       break;
     case 4:
-      SetStoreFor(static_cast<StoreMood>(1 + Draw(3)), DrawMs(300, 5000));
+      InjectStoreFault(static_cast<StoreFault>(1 + Draw(3)), DrawMs(300, 5000));
       break;
     case 5:
       m_store.DropHistory();
       break;
     case 6:
-      CutFromStore(AnyDaemon());
+      CutFromStore(RandomDaemon());
       break;
     case 7:
-      RestartServer(AnyServer());
+      RestartServer(RandomServer());
       break;
     case 8:
-      DrainAndReplace(AnyServer());
+      DrainAndReplace(RandomServer());
       break;
     default:
-      SetServerFor(AnyServer(), static_cast<ServerMood>(1 + Draw(4)), DrawMs(300, 5000));
+      InjectServerFault(RandomServer(), static_cast<ServerFault>(1 + Draw(4)), DrawMs(300, 5000));
     }
   }
 
   /// Lets a random server announce a rate limit for a while, below the rate of requests.
-  void LimitAServer()
+  void RateLimitRandomServer()
   {
     if (m_stopped || Common::Now() >= m_faults_until)
       return;
-    StandInServer& server = AnyServer();
-    server.SetLimit(LIMITS[Draw(LIMITS.size())]);
+    StandInServer& server = RandomServer();
+    server.SetRateLimit(RATE_LIMITS[Draw(RATE_LIMITS.size())]);
     After(DrawMs(5000, 12000), [&server] {
-      server.SetLimit(std::nullopt);
+      server.SetRateLimit(std::nullopt);
     });
     After(DrawMs(1500, 4000), [this] {
-      LimitAServer();
+      RateLimitRandomServer();
     });
   }
 
   /// Lets a random server either announce that it is draining, while its entry still says ready, or
   /// reject all requests for a while with a Retry-After header.
-  void LetAServerLeaveOrBackOff()
+  void DrainOrBackOffRandomServer()
   {
     if (m_stopped || Common::Now() >= m_faults_until)
       return;
-    StandInServer& server = AnyServer();
+    StandInServer& server = RandomServer();
     if (Draw(2) == 0)
     {
-      server.AnnounceEnd();
+      server.AnnounceDrain();
       After(DrawMs(2500, 6000), [&server] {
         server.Restart();
       });
@@ -414,66 +418,66 @@
     else
     {
       server.SetRetryAfter(static_cast<double>(DrawMs(1500, 3000).count()) / MS_PER_S);
-      SetServerFor(server, ServerMood::Sheds, DrawMs(500, 5000));
+      InjectServerFault(server, ServerFault::RejectRequests, DrawMs(500, 5000));
     }
     After(DrawMs(1500, 4000), [this] {
-      LetAServerLeaveOrBackOff();
+      DrainOrBackOffRandomServer();
     });
   }
 
   /// Prints one line per signal, so that the output of a failed run shows which signals coincided.
-  void Trace(const char* what, const DaemonSlot& daemon) const
+  void TraceSignal(const char* what, const DaemonProcess& daemon) const
   {
     const auto at = std::chrono::duration_cast<Milliseconds>(Common::Now() - m_started_at);
     std::cout << at.count() << " ms " << what << " " << daemon.name << " pid " << daemon.pid
               << "\n";
   }
 
-  void StopAndRestart(DaemonSlot& daemon, int signal)
+  void StopAndRestart(DaemonProcess& daemon, int signal)
   {
     if (!daemon.expected_to_run)
       return;
-    Trace(signal == SIGTERM ? "stop" : "kill", daemon);
-    m_ledger.NoteDisturbance(Common::Now() + Milliseconds(3600) + START_TIME);
-    m_ledger.NoteDaemonDisturbance(daemon.name, Common::Now() + Milliseconds(3600) + START_TIME);
-    m_ledger.NoteDaemonStop(daemon.name, Common::Now() + Milliseconds(3600));
+    TraceSignal(signal == SIGTERM ? "stop" : "kill", daemon);
+    m_checker.RecordFault(Common::Now() + Milliseconds(3600) + STARTUP_TIME);
+    m_checker.RecordDaemonFault(daemon.name, Common::Now() + Milliseconds(3600) + STARTUP_TIME);
+    m_checker.RecordDaemonStop(daemon.name, Common::Now() + Milliseconds(3600));
     m_processes.Signal(daemon.pid, SIGCONT);
     m_processes.Signal(daemon.pid, signal);
     daemon.expected_to_run = false;
-    daemon.paused_in_stop = false;
-    const auto away = signal == SIGTERM ? Milliseconds(3600) : DrawMs(100, 1500);
-    After(away, [this, &daemon] {
-      EndAndLaunch(daemon);
+    daemon.suspended_while_stopping = false;
+    const auto down_time = signal == SIGTERM ? Milliseconds(3600) : DrawMs(100, 1500);
+    After(down_time, [this, &daemon] {
+      LaunchAfterExit(daemon);
     });
   }
 
   /// Starts the daemon again once its process has exited. Kills it if it has not exited within its
   /// grace time, as the platform does. That is a violation unless the process was suspended
   /// meanwhile and so could not stop.
-  void EndAndLaunch(DaemonSlot& daemon)
+  void LaunchAfterExit(DaemonProcess& daemon)
   {
     if (m_processes.Ended(daemon.pid))
     {
       Launch(daemon);
       return;
     }
-    if (!daemon.paused_in_stop)
-      m_ledger.Break("did not stop within its grace time: " + daemon.name);
+    if (!daemon.suspended_while_stopping)
+      m_checker.ReportViolation("did not stop within its grace time: " + daemon.name);
     m_processes.Signal(daemon.pid, SIGKILL);
-    After(END_POLL, [this, &daemon] {
-      EndAndLaunch(daemon);
+    After(EXIT_POLL_INTERVAL, [this, &daemon] {
+      LaunchAfterExit(daemon);
     });
   }
 
-  void Pause(DaemonSlot& daemon)
+  void Suspend(DaemonProcess& daemon)
   {
-    Trace("suspend", daemon);
-    daemon.paused_in_stop = !daemon.expected_to_run;
+    TraceSignal("suspend", daemon);
+    daemon.suspended_while_stopping = !daemon.expected_to_run;
     m_processes.Signal(daemon.pid, SIGSTOP);
     const auto span = DrawMs(100, 6000);
-    m_ledger.NoteDisturbance(Common::Now() + span);
-    m_ledger.NoteDaemonDisturbance(daemon.name, Common::Now() + span);
-    m_ledger.NoteDaemonStop(daemon.name, Common::Now() + span);
+    m_checker.RecordFault(Common::Now() + span);
+    m_checker.RecordDaemonFault(daemon.name, Common::Now() + span);
+    m_checker.RecordDaemonStop(daemon.name, Common::Now() + span);
     After(span, [this, pid = daemon.pid] {
       m_processes.Signal(pid, SIGCONT);
     });
@@ -481,29 +485,29 @@
 
   void RestartServer(StandInServer& server)
   {
-    if (m_restarts_under_id && Draw(2) == 0)
-      server.RestartUnderItsId(DrawMs(0, 1000));
+    if (m_restarts_with_same_id && Draw(2) == 0)
+      server.RestartWithSameId(DrawMs(0, 1000));
     else
       server.Restart();
   }
 
-  void SetStoreFor(StoreMood mood, Milliseconds span)
+  void InjectStoreFault(StoreFault fault, Milliseconds span)
   {
-    m_store.SetMood(mood);
-    m_ledger.NoteDisturbance(Common::Now() + span);
+    m_store.SetFault(fault);
+    m_checker.RecordFault(Common::Now() + span);
     After(span, [this] {
-      m_store.SetMood(StoreMood::Well);
+      m_store.SetFault(StoreFault::None);
     });
   }
 
-  void CutFromStore(DaemonSlot& daemon)
+  void CutFromStore(DaemonProcess& daemon)
   {
-    daemon.store_path->SetCut(true);
+    daemon.store_relay->SetCut(true);
     const auto span = DrawMs(300, 6000);
-    m_ledger.NoteDisturbance(Common::Now() + span);
-    m_ledger.NoteDaemonDisturbance(daemon.name, Common::Now() + span);
+    m_checker.RecordFault(Common::Now() + span);
+    m_checker.RecordDaemonFault(daemon.name, Common::Now() + span);
     After(span, [&daemon] {
-      daemon.store_path->SetCut(false);
+      daemon.store_relay->SetCut(false);
     });
   }
 
@@ -515,26 +519,26 @@
     });
   }
 
-  void SetServerFor(StandInServer& server, ServerMood mood, Milliseconds span)
+  void InjectServerFault(StandInServer& server, ServerFault fault, Milliseconds span)
   {
-    server.SetMood(mood);
+    server.SetFault(fault);
     After(span, [&server] {
-      server.SetMood(ServerMood::Well);
+      server.SetFault(ServerFault::None);
     });
   }
 
-  void CheckProcesses()
+  void CheckDaemonsAreRunning()
   {
-    for (const DaemonSlot& daemon : m_daemons)
+    for (const DaemonProcess& daemon : m_daemons)
       if (daemon.expected_to_run && m_processes.Ended(daemon.pid))
-        m_ledger.Break("ended by itself: " + daemon.name);
+        m_checker.ReportViolation("ended by itself: " + daemon.name);
   }
 
   /// Sends a request for the newest route to each daemon. The configuration was last changed long
   /// enough ago for all daemons to have it, even over a weak link.
-  void AskForNewestRoute()
+  void CheckNewestRoute()
   {
-    for (DaemonSlot& daemon : m_daemons)
+    for (DaemonProcess& daemon : m_daemons)
     {
       const std::string id = std::string("newest-").append(daemon.name);
       const Http::WholeRequest request{
@@ -542,44 +546,44 @@
           m_newest_path,
           {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "2000"}},
           "body"};
-      m_ledger.NoteSent(id, RequestType::Plain, daemon.name);
-      daemon.callers->Call(request, CALLER_PATIENCE,
-                           [this, id](Common::Result<Http::WholeAnswer> answer) {
-                             const int status = answer ? answer->status : 0;
-                             m_ledger.NoteAnswer(id, status, answer ? answer->body : "");
-                             if (status != STATUS_OK)
-                               m_ledger.Break("daemon does not serve the newest route: " + id);
-                           });
+      m_checker.RecordSent(id, RequestType::Repeatable, daemon.name);
+      daemon.caller_channel->Call(
+          request, CALLER_TIMEOUTS, [this, id](Common::Result<Http::WholeAnswer> response) {
+            const int status = response ? response->status : 0;
+            m_checker.RecordResponse(id, status, response ? response->body : "");
+            if (status != STATUS_OK)
+              m_checker.ReportViolation("daemon does not serve the newest route: " + id);
+          });
     }
   }
 
-  void CalmDown()
+  void EndFaults()
   {
     PutConfiguration();
-    m_models = PLACES_IN_ALL;
-    m_store.SetMood(StoreMood::Well);
+    m_requested_models = TOTAL_MODEL_CAPACITY;
+    m_store.SetFault(StoreFault::None);
     for (const auto& server : m_servers)
     {
-      server->SetMood(ServerMood::Well);
-      server->SetLimit(std::nullopt);
+      server->SetFault(ServerFault::None);
+      server->SetRateLimit(std::nullopt);
       server->SetRetryAfter(std::nullopt);
     }
-    for (DaemonSlot& daemon : m_daemons)
+    for (DaemonProcess& daemon : m_daemons)
     {
-      daemon.store_path->SetCut(false);
+      daemon.store_relay->SetCut(false);
       m_processes.Signal(daemon.pid, SIGCONT);
     }
   }
 
-  void Judge()
+  void CheckResults()
   {
     m_stopped = true;
-    CheckProcesses();
-    const auto all = m_ledger.Answered() + m_ledger.Refused() + m_ledger.Failed();
-    std::cout << "after the faults: " << m_ledger.Answered() << " of " << all << " served, "
-              << m_ledger.Refused() << " refused, " << m_ledger.Failed() << " failed\n";
-    if (m_ledger.Answered() * 100 < all * SERVED_AFTER_FAULTS || all == 0)
-      m_ledger.Break("too little is served after the faults");
+    CheckDaemonsAreRunning();
+    const auto total = m_checker.Served() + m_checker.Refused() + m_checker.Failed();
+    std::cout << "after the faults: " << m_checker.Served() << " of " << total << " served, "
+              << m_checker.Refused() << " refused, " << m_checker.Failed() << " failed\n";
+    if (m_checker.Served() * 100 < total * MIN_SERVED_PERCENT || total == 0)
+      m_checker.ReportViolation("too little is served after the faults");
     g_main_loop_quit(m_loop);
   }
 
@@ -588,24 +592,24 @@
   std::string m_net;
   std::string m_logs;
   ScenarioRunner::Processes m_processes;
-  Ledger m_ledger;
+  InvariantChecker m_checker;
   StandInStore m_store;
   std::vector<std::unique_ptr<StandInServer>> m_servers;
-  std::vector<DaemonSlot> m_daemons;
+  std::vector<DaemonProcess> m_daemons;
   GMainLoop* m_loop = g_main_loop_new(nullptr, FALSE);
   Common::TimePoint m_started_at = Common::Now();
   Common::TimePoint m_faults_until;
-  std::int64_t m_configuration = 0;
+  std::int64_t m_configuration_version = 0;
   std::string m_newest_path; ///< On the last route of the newest configuration.
   std::int64_t m_request_count = 0;
   int m_fault_count = 0;
   bool m_stopped = false;
-  bool m_restarts_under_id = false;
-  bool m_limits_servers = false;
-  bool m_servers_leave = false;
-  int m_crashers = 0; ///< Number of different crashing requests.
-  Milliseconds m_crashers_after{0};
-  std::uint64_t m_models = MODELS; ///< That requests use.
+  bool m_restarts_with_same_id = false;
+  bool m_rate_limits_servers = false;
+  bool m_drains_and_backs_off_servers = false;
+  int m_crashing_request_count = 0; ///< Number of different crashing requests.
+  Milliseconds m_crashing_request_delay{0};
+  std::uint64_t m_requested_models = MODELS; ///< That requests use.
 };
 } // namespace
 
@@ -637,14 +641,14 @@
               parsed["net"].as<std::string>(),
               std::filesystem::absolute(parsed["logs"].as<std::string>()));
   if (parsed.count("restarts-under-id") > 0)
-    run.RestartServersUnderTheirId();
+    run.RestartServersWithSameId();
   if (parsed.count("crashing-requests") > 0)
     run.SendCrashingRequests();
   if (parsed.count("late-crashing-requests") > 0)
     run.DelayCrashingRequests();
   if (parsed.count("limited-servers") > 0)
-    run.LimitServers();
+    run.RateLimitServers();
   if (parsed.count("leaving-servers") > 0)
-    run.LetServersLeaveAndBackOff();
+    run.DrainAndBackOffServers();
   return run.Run(Milliseconds(parsed["seconds"].as<int>() * 1000));
 }
--- a/Source/StandIns/Soak/StandInServer.cpp
+++ b/Source/StandIns/Soak/StandInServer.cpp
@@ -16,16 +16,16 @@
 
 /// Models that fit into a server's memory. Must match the sizes in MB in the configuration of the
 /// soak test.
-constexpr std::size_t PLACES = 2;
+constexpr std::size_t MAX_LOADED_MODELS = 2;
 constexpr Milliseconds LOAD_TIME{200};
 constexpr Milliseconds UNLOAD_TIME{20};
-constexpr Milliseconds PLAIN_WORK{15};
-constexpr Milliseconds EVENT_TIME{8};
-constexpr int EVENTS = 25;
-/// With ServerMood::Resets, one in so many stream events resets the connection.
-constexpr std::uint64_t BREAKS_ONE_IN = 40;
-/// With ServerMood::LateOrders, orders are delayed by 1 s and a random time below this.
-constexpr std::uint64_t LATEST_ORDER_MS = 4000;
+constexpr Milliseconds PLAIN_REQUEST_TIME{15};
+constexpr Milliseconds EVENT_INTERVAL{8};
+constexpr int EVENTS_PER_STREAM = 25;
+/// With ServerFault::ResetConnections, one in so many stream events resets the connection.
+constexpr std::uint64_t RESET_ONE_IN = 40;
+/// With ServerFault::DelayOrders, orders are delayed by 1 s and a random time below this.
+constexpr std::uint64_t ORDER_DELAY_RANGE_MS = 4000;
 /// Time from the start of a crashing request to the crash.
 constexpr Milliseconds CRASH_AFTER{5};
 constexpr Milliseconds DOWN_TIME{1500};
@@ -38,16 +38,16 @@
 } // namespace
 
 StandInServer::StandInServer(std::string name, Http::Endpoint endpoint, StandInStore& store,
-                             Ledger& ledger, std::vector<std::string> models)
+                             InvariantChecker& checker, std::vector<std::string> models)
     : m_name(std::move(name)),
       m_endpoint(endpoint),
       m_store(store),
-      m_ledger(ledger),
-      m_disk(std::move(models))
+      m_checker(checker),
+      m_models_on_disk(std::move(models))
 {
 }
 
-Common::Result<Common::Done> StandInServer::Open()
+Common::Result<Common::Done> StandInServer::OpenListener()
 {
   m_listener.emplace();
   return m_listener->Listen(m_endpoint, [this](int fd, const Http::Endpoint&) {
@@ -61,18 +61,18 @@
 
 Common::Result<Common::Done> StandInServer::Listen()
 {
-  auto listening = Open();
+  auto listening = OpenListener();
   Restart();
   return listening;
 }
 
-void StandInServer::Crash(Milliseconds until_gone)
+void StandInServer::Crash(Milliseconds down_time)
 {
   m_listener.reset();
-  BeginLife();
-  After(until_gone, [this] {
-    if (!Open())
-      m_ledger.Break("stand-in server cannot listen after a crash: " + m_name);
+  ResetInstance();
+  After(down_time, [this] {
+    if (!OpenListener())
+      m_checker.ReportViolation("stand-in server cannot listen after a crash: " + m_name);
     Restart();
   });
 }
@@ -81,30 +81,30 @@
 {
   if (!m_instance.empty())
     m_store.Remove("servers", m_instance);
-  BeginLife();
-  m_instance = m_name + "-" + std::to_string(m_life);
+  ResetInstance();
+  m_instance = m_name + "-" + std::to_string(m_instance_number);
   WriteEntry();
 }
 
-void StandInServer::RestartUnderItsId(Milliseconds until_entry)
+void StandInServer::RestartWithSameId(Milliseconds entry_delay)
 {
-  BeginLife();
-  After(until_entry, [this] {
+  ResetInstance();
+  After(entry_delay, [this] {
     WriteEntry();
   });
 }
 
-void StandInServer::BeginLife()
+void StandInServer::ResetInstance()
 {
-  ++m_life;
+  ++m_instance_number;
   const auto now = std::chrono::system_clock::now().time_since_epoch();
-  m_born = std::max(m_born + 1, std::chrono::floor<Milliseconds>(now).count());
+  m_start_ms = std::max(m_start_ms + 1, std::chrono::floor<Milliseconds>(now).count());
   m_models.clear();
   m_sequence = 0;
   m_busy = false;
   m_draining = false;
-  m_announces_end = false;
-  SetLimit(std::nullopt);
+  m_announces_drain = false;
+  SetRateLimit(std::nullopt);
   const auto connections = m_connections;
   for (const auto& [key, connection] : connections)
     connection->BreakAnswer();
@@ -116,31 +116,32 @@
   WriteEntry();
 }
 
-void StandInServer::AnnounceEnd()
+void StandInServer::AnnounceDrain()
 {
-  m_announces_end = true;
+  m_announces_drain = true;
 }
 
 void StandInServer::After(Milliseconds delay, std::function<void()> callback)
 {
-  Common::Reactor::Get().After(delay, [this, life = m_life, callback = std::move(callback)] {
-    if (life == m_life)
-      callback();
-  });
+  Common::Reactor::Get().After(
+      delay, [this, instance_number = m_instance_number, callback = std::move(callback)] {
+        if (instance_number == m_instance_number)
+          callback();
+      });
 }
 
-void StandInServer::SetLimit(std::optional<double> per_second)
+void StandInServer::SetRateLimit(std::optional<double> per_second)
 {
-  m_limit = per_second;
-  m_ledger.NoteLimit(m_name, per_second, Common::Now());
+  m_rate_limit = per_second;
+  m_checker.RecordRateLimit(m_name, per_second, Common::Now());
 }
 
 std::vector<Http::HeaderField>
-StandInServer::AnswerHeaders(std::vector<Http::HeaderField> headers) const
+StandInServer::ResponseHeaders(std::vector<Http::HeaderField> headers) const
 {
-  if (m_limit)
-    headers.push_back({"Server-Limit", Common::DumpJson(*m_limit)});
-  if (m_announces_end)
+  if (m_rate_limit)
+    headers.push_back({"Server-Limit", Common::DumpJson(*m_rate_limit)});
+  if (m_announces_drain)
     headers.push_back({"Server-Leaving", "1"});
   return headers;
 }
@@ -157,18 +158,18 @@
                {"slots", 16},
                {"state", m_draining ? "draining" : "ready"},
                {"models", models},
-               {"atHand", {{"inMemory", Json::array()}, {"onDisk", m_disk}}},
+               {"atHand", {{"inMemory", Json::array()}, {"onDisk", m_models_on_disk}}},
                {"seq", 1},
-               {"born", m_born}});
+               {"born", m_start_ms}});
 }
 
 void StandInServer::Reject(const Connection& connection, int status, const std::string& id)
 {
-  auto headers = AnswerHeaders({{"Attempt-Id", id}, {"Not-Run", "1"}, {"Instance", m_instance}});
+  auto headers = ResponseHeaders({{"Attempt-Id", id}, {"Not-Run", "1"}, {"Instance", m_instance}});
   if (status == 503 && m_retry_after)
   {
     headers.push_back({"Retry-After", Common::DumpJson(*m_retry_after)});
-    m_ledger.NoteRetryAfter(m_instance, id, *m_retry_after, Common::Now());
+    m_checker.RecordRetryAfter(m_instance, id, *m_retry_after, Common::Now());
   }
   connection->Respond(status, Http::ReasonPhrase(status), headers, "");
 }
@@ -176,22 +177,22 @@
 void StandInServer::OnRequest(const Connection& connection, Http::ReceivedRequest request)
 {
   const std::string id = HeaderValue(request.head, "Attempt-Id");
-  const std::string wanted = HeaderValue(request.head, "Expect-Instance");
+  const std::string expected_instance = HeaderValue(request.head, "Expect-Instance");
   const bool is_request = request.head.target != "/order" && request.head.target != "/report";
   if (is_request)
   {
-    m_ledger.NoteArrival(m_name, id, Common::Now());
-    m_ledger.NoteArrivalInLife(m_instance, id, Common::Now());
+    m_checker.RecordArrival(m_name, id, Common::Now());
+    m_checker.RecordArrivalAtInstance(m_instance, id, Common::Now());
   }
-  const bool is_crasher = request.body.starts_with(CRASHER_PREFIX);
-  if (is_crasher)
-    m_ledger.NoteCrasherArrival(request.body, Common::Now());
-  if (m_mood == ServerMood::Silent)
+  const bool is_crashing = request.body.starts_with(CRASHING_BODY_PREFIX);
+  if (is_crashing)
+    m_checker.RecordCrashingRequestArrival(request.body, Common::Now());
+  if (m_fault == ServerFault::Unresponsive)
     return;
-  if (!wanted.empty() && wanted != m_instance)
+  if (!expected_instance.empty() && expected_instance != m_instance)
     Reject(connection, 421, id);
   else if (request.head.target == "/order")
-    TakeOrder(connection, request);
+    HandleOrder(connection, request);
   else if (request.head.target == "/report")
   {
     Json models = Json::array();
@@ -200,21 +201,21 @@
     connection->Respond(
         200, "OK", {},
         Common::DumpJson(
-            {{"seq", m_sequence}, {"busy", m_busy}, {"models", models}, {"born", m_born}}));
+            {{"seq", m_sequence}, {"busy", m_busy}, {"models", models}, {"born", m_start_ms}}));
   }
-  else if (m_mood == ServerMood::Sheds)
+  else if (m_fault == ServerFault::RejectRequests)
     Reject(connection, 503, id);
   else
-    Serve(connection, request);
+    ServeRequest(connection, request);
 }
 
-void StandInServer::NoteAnnouncement(const std::string& id)
+void StandInServer::RecordAnnouncement(const std::string& id)
 {
-  if (m_announces_end)
-    m_ledger.NoteAnnouncedEnd(m_instance, id, Common::Now());
+  if (m_announces_drain)
+    m_checker.RecordDrainAnnouncement(m_instance, id, Common::Now());
 }
 
-void StandInServer::Serve(const Connection& connection, const Http::ReceivedRequest& request)
+void StandInServer::ServeRequest(const Connection& connection, const Http::ReceivedRequest& request)
 {
   const std::string id = HeaderValue(request.head, "Attempt-Id");
   const std::string model = HeaderValue(request.head, "Model");
@@ -223,33 +224,33 @@
     Reject(connection, 421, id);
     return;
   }
-  m_ledger.NoteRun(id);
-  if (request.body.starts_with(CRASHER_PREFIX))
+  m_checker.RecordRun(id);
+  if (request.body.starts_with(CRASHING_BODY_PREFIX))
   {
-    After(CRASH_AFTER, [this, crasher = request.body] {
-      m_ledger.NoteCrash(crasher, Common::Now());
+    After(CRASH_AFTER, [this, body = request.body] {
+      m_checker.RecordCrash(body, Common::Now());
       Crash(DOWN_TIME);
     });
     return;
   }
   if (!model.empty())
   {
-    const std::string last = HeaderValue(request.head, "Last-Event-Id");
-    NoteAnnouncement(id);
+    const std::string last_event_id = HeaderValue(request.head, "Last-Event-Id");
+    RecordAnnouncement(id);
     connection->BeginChunked(
         200, "OK",
-        AnswerHeaders(
+        ResponseHeaders(
             {{"Attempt-Id", id}, {"Server-Stamp", "s"}, {"Content-Type", "text/event-stream"}}));
-    Stream(connection, id, last.empty() ? 1 : std::atoi(last.c_str()) + 1);
+    Stream(connection, id, last_event_id.empty() ? 1 : std::atoi(last_event_id.c_str()) + 1);
     return;
   }
-  After(PLAIN_WORK, [this, connection, id] {
-    if (m_mood == ServerMood::Resets && Common::SharedRandom()() % 3 == 0)
+  After(PLAIN_REQUEST_TIME, [this, connection, id] {
+    if (m_fault == ServerFault::ResetConnections && Common::SharedRandom()() % 3 == 0)
       connection->BreakAnswer();
     else
     {
-      NoteAnnouncement(id);
-      connection->Respond(200, "OK", AnswerHeaders({{"Attempt-Id", id}, {"Server-Stamp", "s"}}),
+      RecordAnnouncement(id);
+      connection->Respond(200, "OK", ResponseHeaders({{"Attempt-Id", id}, {"Server-Stamp", "s"}}),
                           "answer to " + id);
     }
   });
@@ -257,45 +258,45 @@
 
 void StandInServer::Stream(const Connection& connection, const std::string& id, int event)
 {
-  if (!connection->IsOpen() || m_mood == ServerMood::Silent)
+  if (!connection->IsOpen() || m_fault == ServerFault::Unresponsive)
     return;
-  if (event > EVENTS)
+  if (event > EVENTS_PER_STREAM)
   {
     connection->EndChunked();
     return;
   }
   const std::string text = "id: " + std::to_string(event) + "\ndata: " + id + "\n\n";
-  if (m_mood == ServerMood::Resets && Common::SharedRandom()() % BREAKS_ONE_IN == 0)
+  if (m_fault == ServerFault::ResetConnections && Common::SharedRandom()() % RESET_ONE_IN == 0)
   {
     connection->SendChunk(text.substr(0, text.size() / 2));
     connection->BreakAnswer();
     return;
   }
   connection->SendChunk(text);
-  After(EVENT_TIME, [this, connection, id, event] {
+  After(EVENT_INTERVAL, [this, connection, id, event] {
     Stream(connection, id, event + 1);
   });
 }
 
-void StandInServer::TakeOrder(const Connection& connection, const Http::ReceivedRequest& request)
+void StandInServer::HandleOrder(const Connection& connection, const Http::ReceivedRequest& request)
 {
   const auto order = Common::ParseJson(request.body);
-  m_ledger.NoteOrder(m_instance, Common::GetOr<std::string>(*order, "holder", ""),
-                     Common::GetOr<std::int64_t>(*order, "fence", 0), Common::Now());
-  if (m_mood == ServerMood::LateOrders)
+  m_checker.RecordOrder(m_instance, Common::GetOr<std::string>(*order, "holder", ""),
+                        Common::GetOr<std::int64_t>(*order, "fence", 0), Common::Now());
+  if (m_fault == ServerFault::DelayOrders)
   {
-    const auto delay = Milliseconds(1000 + Common::SharedRandom()() % LATEST_ORDER_MS);
+    const auto delay = Milliseconds(1000 + Common::SharedRandom()() % ORDER_DELAY_RANGE_MS);
     Common::Reactor::Get().After(delay, [this, late = *order, instance = m_instance] {
       if (instance == m_instance)
-        Carry(late);
+        ExecuteOrder(late);
     });
     return;
   }
-  const int status = Carry(*order);
+  const int status = ExecuteOrder(*order);
   connection->Respond(status, Http::ReasonPhrase(status), {}, "");
 }
 
-int StandInServer::Carry(const Json& order)
+int StandInServer::ExecuteOrder(const Json& order)
 {
   const auto model = Common::GetOr<std::string>(order, "model", "");
   const bool load = Common::GetOr<std::string>(order, "operation", "") == "load";
@@ -303,8 +304,8 @@
     return 409;
   if (m_models.contains(model) == load)
     return 200;
-  if (load && m_models.size() >= PLACES)
-    m_ledger.Break("load ordered on a server without free memory: " + m_instance);
+  if (load && m_models.size() >= MAX_LOADED_MODELS)
+    m_checker.ReportViolation("load ordered on a server without free memory: " + m_instance);
   ++m_sequence;
   m_busy = true;
   After(load ? LOAD_TIME : UNLOAD_TIME, [this, model, load] {
--- a/Source/StandIns/Soak/StandInStore.cpp
+++ b/Source/StandIns/Soak/StandInStore.cpp
@@ -16,8 +16,8 @@
 {
 using Common::Json;
 
-/// With StoreMood::LosesSome, one in so many writes gets no response.
-constexpr std::uint64_t LOSES_ONE_IN = 3;
+/// With StoreFault::LoseResponses, one in so many writes gets no response.
+constexpr std::uint64_t LOSE_ONE_IN = 3;
 
 std::string QueryValue(const std::string& target, const std::string& name)
 {
@@ -53,16 +53,16 @@
 {
   row.version = ++m_version;
   m_tables[table][key] = std::move(row);
-  std::list<Waiter> ready;
-  for (auto waiter = m_waiters.begin(); waiter != m_waiters.end();)
+  std::list<PendingFeed> ready;
+  for (auto feed = m_pending_feeds.begin(); feed != m_pending_feeds.end();)
   {
-    const auto next = std::next(waiter);
-    if (waiter->table == table)
-      ready.splice(ready.end(), m_waiters, waiter);
-    waiter = next;
+    const auto next = std::next(feed);
+    if (feed->table == table)
+      ready.splice(ready.end(), m_pending_feeds, feed);
+    feed = next;
   }
-  for (const Waiter& waiter : ready)
-    AnswerFeed(waiter.connection, waiter.table, waiter.after);
+  for (const PendingFeed& feed : ready)
+    RespondToFeed(feed.connection, feed.table, feed.after);
 }
 
 void StandInStore::Put(const std::string& table, const std::string& key, const Json& value)
@@ -81,17 +81,17 @@
 
 void StandInStore::DropHistory()
 {
-  m_history_floor = m_version;
-  for (const Waiter& waiter : std::exchange(m_waiters, {}))
-    waiter.connection->Respond(410, "Gone", {}, "");
+  m_history_start = m_version;
+  for (const PendingFeed& feed : std::exchange(m_pending_feeds, {}))
+    feed.connection->Respond(410, "Gone", {}, "");
 }
 
 void StandInStore::OnRequest(const std::shared_ptr<Http::ServerConnection>& connection,
                              Http::ReceivedRequest request)
 {
-  if (m_mood == StoreMood::Silent)
+  if (m_fault == StoreFault::Unresponsive)
     return;
-  if (m_mood == StoreMood::Busy)
+  if (m_fault == StoreFault::Unavailable)
   {
     connection->Respond(503, Http::ReasonPhrase(503), {}, "");
     return;
@@ -117,8 +117,8 @@
   return json;
 }
 
-void StandInStore::Answer(const std::shared_ptr<Http::ServerConnection>& connection, int status,
-                          Json body)
+void StandInStore::RespondWithVersion(const std::shared_ptr<Http::ServerConnection>& connection,
+                                      int status, Json body)
 {
   body["ver"] = m_version;
   body["nowMs"] = NowMs();
@@ -133,11 +133,11 @@
   for (const auto& [key, row] : m_tables[table])
     if (key >= first_key && !row.removed)
       rows.push_back(RowJson(table, key, row));
-  Answer(connection, 200, {{"rows", rows}, {"hasMore", false}});
+  RespondWithVersion(connection, 200, {{"rows", rows}, {"hasMore", false}});
 }
 
-bool StandInStore::AnswerFeed(const std::shared_ptr<Http::ServerConnection>& connection,
-                              const std::string& table, std::int64_t after)
+bool StandInStore::RespondToFeed(const std::shared_ptr<Http::ServerConnection>& connection,
+                                 const std::string& table, std::int64_t after)
 {
   std::map<std::int64_t, Json> changed;
   for (const auto& [key, row] : m_tables[table])
@@ -148,31 +148,31 @@
   Json rows = Json::array();
   for (auto& [version, row] : changed)
     rows.push_back(std::move(row));
-  Answer(connection, 200, {{"rows", rows}});
+  RespondWithVersion(connection, 200, {{"rows", rows}});
   return true;
 }
 
 void StandInStore::Feed(const std::shared_ptr<Http::ServerConnection>& connection,
                         const std::string& table, std::int64_t after, Common::Milliseconds wait)
 {
-  if (after < m_history_floor)
+  if (after < m_history_start)
   {
     connection->Respond(410, "Gone", {}, "");
     return;
   }
-  if (AnswerFeed(connection, table, after))
+  if (RespondToFeed(connection, table, after))
     return;
-  m_waiters.emplace_back();
-  Waiter& waiter = m_waiters.back();
-  waiter.table = table;
-  waiter.after = after;
-  waiter.connection = connection;
-  waiter.timer.Start(wait, [this, target = &waiter] {
-    const auto held = target->connection;
-    m_waiters.remove_if([&](const Waiter& known) {
+  m_pending_feeds.emplace_back();
+  PendingFeed& feed = m_pending_feeds.back();
+  feed.table = table;
+  feed.after = after;
+  feed.connection = connection;
+  feed.timer.Start(wait, [this, target = &feed] {
+    const auto waiting = target->connection;
+    m_pending_feeds.remove_if([&](const PendingFeed& known) {
       return &known == target;
     });
-    Answer(held, 200, {{"rows", Json::array()}});
+    RespondWithVersion(waiting, 200, {{"rows", Json::array()}});
   });
 }
 
@@ -192,16 +192,17 @@
   }
   if (!conflicts.empty())
   {
-    Answer(connection, 412, {{"rows", conflicts}});
+    RespondWithVersion(connection, 412, {{"rows", conflicts}});
     return;
   }
   for (const Json& row : Common::GetArray(*json, "setKeys"))
     Write(Common::GetOr<std::string>(row, "table", ""), Common::GetOr<std::string>(row, "key", ""),
           {Common::GetOr<std::string>(row, "value", ""), 0, false});
-  const bool lost = m_mood == StoreMood::LosesSome && Common::SharedRandom()() % LOSES_ONE_IN == 0;
-  if (lost)
+  const bool loses_response =
+      m_fault == StoreFault::LoseResponses && Common::SharedRandom()() % LOSE_ONE_IN == 0;
+  if (loses_response)
     connection->BreakAnswer();
   else
-    Answer(connection, 200, Json::object());
+    RespondWithVersion(connection, 200, Json::object());
 }
 } // namespace Soak
--- a/Source/StandIns/Soak/StandInStore.h
+++ b/Source/StandIns/Soak/StandInStore.h
@@ -16,12 +16,12 @@
 namespace Soak
 {
 /// The active fault of the store.
-enum class StoreMood
+enum class StoreFault
 {
-  Well,      ///< No fault.
-  Busy,      ///< Responds to all new calls with status 503.
-  Silent,    ///< Sends no response to new calls.
-  LosesSome, ///< Applies some writes, but resets the connection instead of the response.
+  None,          ///< No fault.
+  Unavailable,   ///< Responds to all new calls with status 503.
+  Unresponsive,  ///< Sends no response to new calls.
+  LoseResponses, ///< Applies some writes, but resets the connection instead of the response.
 };
 
 /// A stand-in for the platform's store: rows with versions, long-polling feeds and conditional
@@ -33,7 +33,7 @@
 
   void Put(const std::string& table, const std::string& key, const Common::Json& value);
   void Remove(const std::string& table, const std::string& key);
-  void SetMood(StoreMood mood) { m_mood = mood; }
+  void SetFault(StoreFault fault) { m_fault = fault; }
   /// Drops the history of changes: pending feeds, and later ones that ask for older changes, get
   /// status 410.
   void DropHistory();
@@ -51,7 +51,7 @@
     bool removed = false;
   };
   /// A feed without changes so far.
-  struct Waiter
+  struct PendingFeed
   {
     std::string table;
     std::int64_t after = 0;
@@ -67,19 +67,19 @@
             std::int64_t after, Common::Milliseconds wait);
   void Transact(const std::shared_ptr<Http::ServerConnection>& connection, const std::string& body);
   /// Responds with the rows changed after a version; returns false if there are none.
-  bool AnswerFeed(const std::shared_ptr<Http::ServerConnection>& connection,
-                  const std::string& table, std::int64_t after);
+  bool RespondToFeed(const std::shared_ptr<Http::ServerConnection>& connection,
+                     const std::string& table, std::int64_t after);
   Common::Json RowJson(const std::string& table, const std::string& key, const Row& row) const;
-  void Answer(const std::shared_ptr<Http::ServerConnection>& connection, int status,
-              Common::Json body);
+  void RespondWithVersion(const std::shared_ptr<Http::ServerConnection>& connection, int status,
+                          Common::Json body);
 
   Http::TcpListener m_listener;
   Http::ServerLimits m_limits;
   std::map<Http::ServerConnection*, std::shared_ptr<Http::ServerConnection>> m_connections;
   std::map<std::string, std::map<std::string, Row>> m_tables;
   std::int64_t m_version = 1;
-  std::int64_t m_history_floor = 0;
-  std::list<Waiter> m_waiters;
-  StoreMood m_mood = StoreMood::Well;
+  std::int64_t m_history_start = 0;
+  std::list<PendingFeed> m_pending_feeds;
+  StoreFault m_fault = StoreFault::None;
 };
 } // namespace Soak
--- a/Source/StandIns/Kit/StandIn.h
+++ b/Source/StandIns/Support/StandInProgram.h
@@ -47,7 +47,7 @@
 }
 
 /// Listens on the given address and port and runs the main loop until the process is killed.
-inline int Serve(Http::Server& server, const cxxopts::ParseResult& parsed)
+inline int ListenAndRun(Http::Server& server, const cxxopts::ParseResult& parsed)
 {
   const auto listening =
       server.Listen(parsed["address"].as<std::string>(), parsed["port"].as<int>());
--- a/Source/StandIns/WeightStore/Main.cpp
+++ b/Source/StandIns/WeightStore/Main.cpp
@@ -13,7 +13,7 @@
 #include <set>
 
 #include "Common/Loop.h"
-#include "StandIns/Kit/StandIn.h"
+#include "StandIns/Support/StandInProgram.h"
 
 namespace
 {
@@ -33,8 +33,10 @@
 class WeightStore
 {
 public:
-  WeightStore(double starts_per_second, int full_speed, double load_ms)
-      : m_starts_per_second(starts_per_second), m_full_speed(full_speed), m_load_ms(load_ms)
+  WeightStore(double starts_per_second, int full_speed_loads, double load_ms)
+      : m_starts_per_second(starts_per_second),
+        m_full_speed_loads(full_speed_loads),
+        m_load_ms(load_ms)
   {
     ScheduleTick();
   }
@@ -97,33 +99,35 @@
   void Advance()
   {
     const auto now = Common::Now();
-    const double passed_ms = std::chrono::duration<double, std::milli>(now - m_last).count();
-    m_last = now;
-    const double sharing = std::max(1.0, static_cast<double>(m_running.size()) / m_full_speed);
+    const double elapsed_ms = std::chrono::duration<double, std::milli>(now - m_last_tick).count();
+    m_last_tick = now;
+    const double slowdown =
+        std::max(1.0, static_cast<double>(m_running.size()) / m_full_speed_loads);
     for (Transfer& transfer : m_running)
     {
-      transfer.left_ms -= passed_ms * m_speed / sharing;
+      transfer.left_ms -= elapsed_ms * m_speed / slowdown;
       if (transfer.left_ms <= 0)
         transfer.done.Set(true);
     }
     m_running.remove_if([](const Transfer& transfer) {
       return transfer.left_ms <= 0;
     });
-    m_tokens = std::min(1.0, m_tokens + passed_ms / 1000 * m_starts_per_second * m_speed);
-    while (!m_waiting.empty() && m_tokens >= 1.0)
+    m_start_tokens =
+        std::min(1.0, m_start_tokens + elapsed_ms / 1000 * m_starts_per_second * m_speed);
+    while (!m_waiting.empty() && m_start_tokens >= 1.0)
     {
-      m_tokens -= 1.0;
+      m_start_tokens -= 1.0;
       m_running.push_back(m_waiting.front());
       m_waiting.pop_front();
     }
   }
 
   double m_starts_per_second;
-  int m_full_speed;
+  int m_full_speed_loads;
   double m_load_ms;
-  double m_speed = 1.0;  ///< Factor on the bandwidth and the start rate.
-  double m_tokens = 1.0; ///< Token bucket for starts; holds one at most.
-  Common::TimePoint m_last = Common::Now();
+  double m_speed = 1.0;        ///< Factor on the bandwidth and the start rate.
+  double m_start_tokens = 1.0; ///< Token bucket for starts; holds one at most.
+  Common::TimePoint m_last_tick = Common::Now();
   std::deque<Transfer> m_waiting;
   std::list<Transfer> m_running;
   std::int64_t m_fetches = 0;
@@ -155,5 +159,5 @@
   server.Handle("/control", [&store](Http::ExchangePtr exchange) {
     return store.Control(exchange);
   });
-  return StandIns::Serve(server, parsed);
+  return StandIns::ListenAndRun(server, parsed);
 }
