--- a/Source/StandIns/Soak/InvariantChecker.cpp
+++ b/Source/StandIns/Soak/InvariantChecker.cpp
@@ -26,8 +26,8 @@
 constexpr double RATE_FACTOR = 1.5;
 constexpr double RATE_SLACK = 5;
 
-/// Maximum time from the announcement of a draining server to a daemon until that daemon sends it
-/// none of the requests that callers send from then on.
+/// A draining server must not get requests that callers send to a daemon later than this after the
+/// server's announcement to that daemon.
 constexpr Common::Milliseconds DRAIN_PROPAGATION_TIME{2000};
 /// After a server has asked a daemon to back off, requests may still arrive for this time, and this
 /// many of them later.
--- a/Source/StandIns/Soak/InvariantChecker.h
+++ b/Source/StandIns/Soak/InvariantChecker.h
@@ -135,8 +135,8 @@
   /// Returns whether the daemon has been neither stopped nor suspended since the given time.
   bool HasRunSince(const std::string& daemon, Common::TimePoint moment) const;
 
-  std::map<std::pair<std::string, std::string>, Announcements>
-      m_announcements; ///< By instance and daemon.
+  /// By instance and daemon.
+  std::map<std::pair<std::string, std::string>, Announcements> m_announcements;
   std::map<std::string, Common::TimePoint> m_daemon_stops_until;
   int m_drain_announcements = 0;
   int m_backoff_announcements = 0;
--- a/Source/StandIns/Soak/StandInServer.h
+++ b/Source/StandIns/Soak/StandInServer.h
@@ -103,7 +103,7 @@
   std::int64_t m_start_ms = 0; ///< Start of this instance, Unix time in milliseconds.
   bool m_busy = false;
   bool m_draining = false;
-  int m_instance_number = 0; ///< Number of instances so far.
+  int m_instance_number = 0; ///< Increases at each restart and crash.
   ServerFault m_fault = ServerFault::None;
   std::optional<double> m_rate_limit;  ///< Requests per second.
   std::optional<double> m_retry_after; ///< Seconds.
