--- a/Source/StandIns/BackendServer/Main.cpp
+++ b/Source/StandIns/BackendServer/Main.cpp
@@ -1,9 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// A model engine's stand-in: loads and unloads artifacts on orders, streams chat completions as
-// server-sent events, reports its load late, and can be told to misbehave. Its own record counts
-// runs per request and the peak of its memory, whatever the daemons believe.
+// Stand-in for a backend server with a model server: loads and unloads artifacts on orders, streams
+// chat completions as server-sent events, reports its load with a delay, and injects faults on
+// request. It counts the runs of each request and its peak memory use by itself, so that a test can
+// check them independently of what the daemons report.
 
 #include <algorithm>
 #include <map>
@@ -13,7 +14,7 @@
 
 #include "Common/Loop.h"
 #include "Common/Random.h"
-#include "StandIns/Kit/StandIn.h"
+#include "StandIns/Support/StandInProgram.h"
 
 namespace
 {
@@ -22,6 +23,7 @@
 using Common::Milliseconds;
 using Common::Task;
 
+/// A model or adapter that is loaded or being loaded or unloaded.
 struct Artifact
 {
   std::string state = "loading";
@@ -48,29 +50,36 @@
   std::set<std::string> on_disk;
 };
 
+/// The active faults; /control sets them by the names of these fields.
 struct Faults
 {
+  /// Reports that it is not ready.
   bool leaving = false;
+  /// Sends no tokens.
   bool stall = false;
+  /// Ends streams after this many tokens, without the [DONE] event. Negative: never.
   int cut_stream_after = -1;
+  /// Delay before a response starts.
   int late_ms = 0;
+  /// Responds under a wrong request id.
   bool cross = false;
+  /// Exits when a load starts.
   bool die_in_load = false;
-  /// Orders are held back so long before they are looked at.
+  /// Delay before an order is checked and carried out.
   int order_delay_ms = 0;
-  /// So many of the next orders are carried out, but their answer is lost.
+  /// The next so many loads are carried out, but their response is lost.
   int lose_order_answers = 0;
-  /// VMs that do not reach this backend server.
+  /// VMs that are cut off from this backend server.
   std::set<std::string> cut;
 };
 
-class Engine
+class ModelServer
 {
 public:
-  explicit Engine(Settings settings) : m_settings(std::move(settings))
+  explicit ModelServer(Settings settings) : m_settings(std::move(settings))
   {
     m_on_disk = m_settings.on_disk;
-    SampleLoad();
+    UpdateReportedLoad();
     if (!m_settings.weight_store.empty())
       Common::Spawn(PostLedger({{"vm", m_settings.vm}, {"reset", true}}));
   }
@@ -137,20 +146,20 @@
     const std::string model = GetOr(body, "model", std::string());
     const auto found = m_artifacts.find(model);
     if (found == m_artifacts.end() || found->second.state != "loaded")
-      co_return Decline(*exchange, 404, "model_not_loaded");
+      co_return Reject(*exchange, 404, "model_not_loaded");
     if (m_running >= m_settings.max_running)
-      co_return Decline(*exchange, 429, "overloaded");
+      co_return Reject(*exchange, 429, "overloaded");
     const std::string request = exchange->Header("x-request-id");
     ++m_runs[request];
     ++m_running;
     ++found->second.running;
     ++found->second.served;
-    std::string answered = request;
+    std::string response_id = request;
     if (m_faults.cross)
-      answered = "crossed";
-    co_await Generate(exchange, body, answered);
+      response_id = "crossed";
+    co_await Generate(exchange, body, response_id);
     --m_running;
-    // An unload waits for running requests, so the artifact is still here.
+    // An unload waits for running requests, so the artifact is still loaded.
     Artifact& artifact = m_artifacts[model];
     --artifact.running;
     artifact.last_used = Common::Now();
@@ -233,7 +242,7 @@
       std::_Exit(1);
     const Json entry = {{"vm", m_settings.vm}, {"artifact", id}, {"loaded", true}};
     co_await PostLedger(entry);
-    co_await Transfer(id);
+    co_await LoadWeights(id);
     m_artifacts[id].state = "loaded";
     m_artifacts[id].last_used = Common::Now();
     m_artifacts[id].loaded_at = Common::Now();
@@ -245,7 +254,7 @@
     exchange->RespondJson(200, {{"state", "loaded"}});
   }
 
-  Task<void> Transfer(std::string id)
+  Task<void> LoadWeights(std::string id)
   {
     if (m_in_memory.contains(id))
       co_await Common::Sleep{Milliseconds(m_settings.memory_load_ms)};
@@ -275,7 +284,7 @@
     exchange->RespondJson(200, {{"state", "absent"}});
   }
 
-  static void Decline(Http::Exchange& exchange, int status, const char* type)
+  static void Reject(Http::Exchange& exchange, int status, const char* type)
   {
     exchange.RespondJson(status, {{"error", {{"type", type}}}});
   }
@@ -288,7 +297,7 @@
     if (GetOr(body, "stream", false))
       co_await Stream(exchange, request, tokens);
     else
-      co_await AnswerWhole(exchange, request, tokens);
+      co_await SendCompleteResponse(exchange, request, tokens);
   }
 
   static std::string Token(const std::string& request, int index)
@@ -323,7 +332,7 @@
     exchange->EndStream();
   }
 
-  Task<void> AnswerWhole(Http::ExchangePtr exchange, std::string request, int tokens)
+  Task<void> SendCompleteResponse(Http::ExchangePtr exchange, std::string request, int tokens)
   {
     co_await Common::Sleep{Milliseconds(m_settings.token_ms * tokens)};
     while (m_faults.stall && !exchange->IsClosed())
@@ -339,8 +348,9 @@
         {{"x-request-id", request}});
   }
 
-  /// Copies the load figures late, and integrates loaded and busy time.
-  void SampleLoad()
+  /// Updates the reported number of running requests once per report lag, and sums up the time for
+  /// which artifacts were loaded and busy.
+  void UpdateReportedLoad()
   {
     const Milliseconds period(std::max(10, m_settings.report_lag_ms));
     m_reported_running = m_running;
@@ -350,7 +360,7 @@
       m_busy_ms += artifact.running > 0 ? period.count() : 0;
     }
     Common::CallAfter(period, [this] {
-      SampleLoad();
+      UpdateReportedLoad();
     });
   }
 
@@ -395,20 +405,21 @@
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options options("standin-engine", "Stand-in of a model engine");
+  cxxopts::Options options("standin-engine", "Stand-in for a model server");
   StandIns::AddListenOptions(options);
   options.add_options()("vm", "name of the backend server", cxxopts::value<std::string>())(
       "memory-mb", "accelerator memory", cxxopts::value<std::int64_t>()->default_value("80000"))(
-      "ignore-fencing", "run orders with any fencing number")(
+      "ignore-fencing", "carry out orders with any fence")(
       "weight-store", "URL of the weight store", cxxopts::value<std::string>()->default_value(""))(
-      "disk-load-ms", "load from disk", cxxopts::value<int>()->default_value("200"))(
-      "memory-load-ms", "load from host memory", cxxopts::value<int>()->default_value("50"))(
-      "token-ms", "time of one token", cxxopts::value<int>()->default_value("5"))(
-      "tokens", "tokens of an answer", cxxopts::value<int>()->default_value("8"))(
-      "max-running", "requests at once",
-      cxxopts::value<int>()->default_value("64"))("report-lag-ms", "how late the load is reported",
+      "disk-load-ms", "duration of a load from disk", cxxopts::value<int>()->default_value("200"))(
+      "memory-load-ms", "duration of a load from host memory",
+      cxxopts::value<int>()->default_value("50"))("token-ms", "duration of one token",
+                                                  cxxopts::value<int>()->default_value("5"))(
+      "tokens", "tokens of a response", cxxopts::value<int>()->default_value("8"))(
+      "max-running", "maximum number of concurrent requests",
+      cxxopts::value<int>()->default_value("64"))("report-lag-ms", "delay of the reported load",
                                                   cxxopts::value<int>()->default_value("100"))(
-      "on-disk", "artifacts whose checkpoint is on disk",
+      "on-disk", "artifacts whose weights are on disk",
       cxxopts::value<std::vector<std::string>>()->default_value(""));
   const cxxopts::ParseResult parsed = StandIns::ParseOrExit(options, argc, argv);
   if (parsed.count("vm") == 0)
@@ -417,19 +428,19 @@
     return 2;
   }
   Common::InitLog(argv[0]);
-  Engine engine(ReadSettings(parsed));
+  ModelServer model_server(ReadSettings(parsed));
   Http::Server server({});
-  server.Handle("/v1/engine/report", [&engine](Http::ExchangePtr exchange) {
-    return engine.Report(exchange);
+  server.Handle("/v1/engine/report", [&model_server](Http::ExchangePtr exchange) {
+    return model_server.Report(exchange);
   });
-  server.Handle("/v1/engine/orders", [&engine](Http::ExchangePtr exchange) {
-    return engine.Order(exchange);
+  server.Handle("/v1/engine/orders", [&model_server](Http::ExchangePtr exchange) {
+    return model_server.Order(exchange);
   });
-  server.Handle("/v1/chat/completions", [&engine](Http::ExchangePtr exchange) {
-    return engine.Chat(exchange);
+  server.Handle("/v1/chat/completions", [&model_server](Http::ExchangePtr exchange) {
+    return model_server.Chat(exchange);
   });
-  server.Handle("/control", [&engine](Http::ExchangePtr exchange) {
-    return engine.Control(exchange);
+  server.Handle("/control", [&model_server](Http::ExchangePtr exchange) {
+    return model_server.Control(exchange);
   });
-  return StandIns::Serve(server, parsed);
+  return StandIns::ListenAndRun(server, parsed);
 }
--- a/Source/StandIns/Soak/StandInServer.h
+++ b/Source/StandIns/Soak/StandInServer.h
@@ -14,47 +14,52 @@
 #include "Common/Json.h"
 #include "Common/Reactor.h"
 #include "Http/ServerConnection.h"
-#include "StandIns/Soak/Ledger.h"
+#include "StandIns/Soak/InvariantChecker.h"
 #include "StandIns/Soak/StandInStore.h"
 
 namespace Soak
 {
-/// How a backend server behaves at the moment.
-enum class ServerMood
+/// The active fault of a backend server.
+enum class ServerFault
 {
-  Well,
-  Resets,     ///< Breaks off answers.
-  Silent,     ///< Takes requests and says nothing.
-  Sheds,      ///< Rejects requests before they run.
-  LateOrders, ///< Leaves orders unanswered and carries them out seconds later.
+  None,             ///< No fault.
+  ResetConnections, ///< Resets some connections instead of or during the response.
+  Unresponsive,     ///< Accepts requests and sends nothing.
+  RejectRequests,   ///< Rejects requests before they run, with status 503.
+  DelayOrders,      ///< Sends no response to orders and carries them out seconds later.
 };
 
-/// A stand-in for a backend server with a model engine: requests, streams, orders, its entry.
+/// A stand-in for a backend server with a model server: serves requests and streams, carries out
+/// orders, and writes its entry into the store.
 class StandInServer : public Http::RequestHandler
 {
 public:
-  StandInServer(std::string name, Http::Endpoint endpoint, StandInStore& store, Ledger& ledger,
-                std::vector<std::string> models);
+  StandInServer(std::string name, Http::Endpoint endpoint, StandInStore& store,
+                InvariantChecker& checker, std::vector<std::string> models);
 
+  /// Listens and starts the first instance.
   Common::Result<Common::Done> Listen();
-  /// Ends every connection, forgets models and orders, and comes back as another instance.
+  /// Resets all connections, drops models and orders, and starts a new instance.
   void Restart();
-  /// The same, but it comes back under its id with a later start, and its entry tells of that only
-  /// after `until_entry`. Orders of before that it carries out late reach the new life.
-  void RestartUnderItsId(Common::Milliseconds until_entry);
+  /// The same, but the new instance has the id of the old one and a later start time, which its
+  /// entry shows only after `entry_delay`. Delayed orders to the old instance are carried out by
+  /// the new one.
+  void RestartWithSameId(Common::Milliseconds entry_delay);
+  /// Sets its entry to draining.
   void Drain();
-  /// The process ends: connections break and new ones are refused. Its entry stays for
-  /// `until_gone`; then it comes back as another instance.
-  void Crash(Common::Milliseconds until_gone);
-  /// Bodies that begin so belong to requests that end every server that begins to run them.
-  static constexpr std::string_view CRASHER_PREFIX = "crash ";
-  void SetMood(ServerMood mood) { m_mood = mood; }
-  /// Says in its answers from now on that it leaves, though its entry calls it ready.
-  void AnnounceEnd();
-  /// Names in its rejections from now on the seconds for which it wants no request; nothing: none.
+  /// Crashes: resets all connections and refuses new ones. The entry stays for `down_time`, after
+  /// which a new instance starts.
+  void Crash(Common::Milliseconds down_time);
+  /// Start of the body of crashing requests, which crash each server that starts to run them.
+  static constexpr std::string_view CRASHING_BODY_PREFIX = "crash ";
+  void SetFault(ServerFault fault) { m_fault = fault; }
+  /// Announces in its responses from now on that it is draining, while its entry still says ready.
+  void AnnounceDrain();
+  /// Adds a Retry-After header of so many seconds to its rejections (status 503) from now on;
+  /// nullopt: no header.
   void SetRetryAfter(std::optional<double> seconds) { m_retry_after = seconds; }
-  /// Names in its answers from now on how many requests a second it takes; nothing: no limit.
-  void SetLimit(std::optional<double> per_second);
+  /// Announces a rate limit in requests per second in its responses from now on; nullopt: no limit.
+  void SetRateLimit(std::optional<double> per_second);
 
   void OnRequest(const std::shared_ptr<Http::ServerConnection>& connection,
                  Http::ReceivedRequest request) override;
@@ -64,38 +69,44 @@
 private:
   using Connection = std::shared_ptr<Http::ServerConnection>;
 
-  void BeginLife();
-  Common::Result<Common::Done> Open();
+  /// Ends the current instance: drops its models, rate limit and drain announcement, and resets all
+  /// connections.
+  void ResetInstance();
+  Common::Result<Common::Done> OpenListener();
   void WriteEntry();
-  /// The answer to the request says that the server leaves.
-  void NoteAnnouncement(const std::string& id);
-  void Serve(const Connection& connection, const Http::ReceivedRequest& request);
+  /// Records an announcement in the response to the request, if the server announces that it is
+  /// draining.
+  void RecordAnnouncement(const std::string& id);
+  void ServeRequest(const Connection& connection, const Http::ReceivedRequest& request);
   void Stream(const Connection& connection, const std::string& id, int event);
-  void TakeOrder(const Connection& connection, const Http::ReceivedRequest& request);
-  int Carry(const Common::Json& order);
+  void HandleOrder(const Connection& connection, const Http::ReceivedRequest& request);
+  /// Carries out an order; returns the status of the response.
+  int ExecuteOrder(const Common::Json& order);
+  /// Responds that the request has not run.
   void Reject(const Connection& connection, int status, const std::string& id);
+  /// Calls the callback after the delay, unless the instance has ended by then.
   void After(Common::Milliseconds delay, std::function<void()> callback);
-  /// `headers` with those that all answers to requests have.
-  std::vector<Http::HeaderField> AnswerHeaders(std::vector<Http::HeaderField> headers) const;
+  /// Adds the headers that all responses to requests have.
+  std::vector<Http::HeaderField> ResponseHeaders(std::vector<Http::HeaderField> headers) const;
 
   std::string m_name;
   std::string m_instance;
   Http::Endpoint m_endpoint;
   StandInStore& m_store;
-  Ledger& m_ledger;
+  InvariantChecker& m_checker;
   std::optional<Http::TcpListener> m_listener; ///< None while the process is down.
   Http::ServerLimits m_limits;
   std::map<Http::ServerConnection*, Connection> m_connections;
-  std::vector<std::string> m_disk;
+  std::vector<std::string> m_models_on_disk;
   std::set<std::string> m_models;
   std::int64_t m_sequence = 0;
-  std::int64_t m_born = 0; ///< Unix milliseconds of this life's start.
+  std::int64_t m_start_ms = 0; ///< Start of this instance, Unix time in milliseconds.
   bool m_busy = false;
   bool m_draining = false;
-  int m_life = 0;
-  ServerMood m_mood = ServerMood::Well;
-  std::optional<double> m_limit;       ///< Requests a second.
+  int m_instance_number = 0; ///< Increases at each restart and crash.
+  ServerFault m_fault = ServerFault::None;
+  std::optional<double> m_rate_limit;  ///< Requests per second.
   std::optional<double> m_retry_after; ///< Seconds.
-  bool m_announces_end = false;
+  bool m_announces_drain = false;
 };
 } // namespace Soak
--- a/Source/StandIns/Soak/StandInStore.h
+++ b/Source/StandIns/Soak/StandInStore.h
@@ -15,16 +15,17 @@
 
 namespace Soak
 {
-/// How the store behaves at the moment.
-enum class StoreMood
+/// The active fault of the store.
+enum class StoreFault
 {
-  Well,
-  Busy,      ///< Every call is answered with 503.
-  Silent,    ///< No call is answered.
-  LosesSome, ///< Some writes take effect and are not answered.
+  None,          ///< No fault.
+  Unavailable,   ///< Responds to all new calls with status 503.
+  Unresponsive,  ///< Sends no response to new calls.
+  LoseResponses, ///< Applies some writes, but resets the connection instead of the response.
 };
 
-/// A stand-in for the platform's store: rows with versions, feeds that wait, compare-and-set.
+/// A stand-in for the platform's store: rows with versions, long-polling feeds and conditional
+/// writes.
 class StandInStore : public Http::RequestHandler
 {
 public:
@@ -32,8 +33,9 @@
 
   void Put(const std::string& table, const std::string& key, const Common::Json& value);
   void Remove(const std::string& table, const std::string& key);
-  void SetMood(StoreMood mood) { m_mood = mood; }
-  /// Forgets its history: feeds that wait, and those that ask for older changes, are told so.
+  void SetFault(StoreFault fault) { m_fault = fault; }
+  /// Drops the history of changes: pending feeds, and later ones that ask for older changes, get
+  /// status 410.
   void DropHistory();
 
   void OnRequest(const std::shared_ptr<Http::ServerConnection>& connection,
@@ -48,7 +50,8 @@
     std::int64_t version = 0;
     bool removed = false;
   };
-  struct Waiter
+  /// A feed without changes so far.
+  struct PendingFeed
   {
     std::string table;
     std::int64_t after = 0;
@@ -56,25 +59,27 @@
     Common::OwnedTimer timer;
   };
 
+  /// Writes a row and responds to the feeds that wait for changes of its table.
   void Write(const std::string& table, const std::string& key, Row row);
   void Read(const std::shared_ptr<Http::ServerConnection>& connection, const std::string& table,
             const std::string& first_key);
   void Feed(const std::shared_ptr<Http::ServerConnection>& connection, const std::string& table,
             std::int64_t after, Common::Milliseconds wait);
   void Transact(const std::shared_ptr<Http::ServerConnection>& connection, const std::string& body);
-  bool AnswerFeed(const std::shared_ptr<Http::ServerConnection>& connection,
-                  const std::string& table, std::int64_t after);
+  /// Responds with the rows changed after a version; returns false if there are none.
+  bool RespondToFeed(const std::shared_ptr<Http::ServerConnection>& connection,
+                     const std::string& table, std::int64_t after);
   Common::Json RowJson(const std::string& table, const std::string& key, const Row& row) const;
-  void Answer(const std::shared_ptr<Http::ServerConnection>& connection, int status,
-              Common::Json body);
+  void RespondWithVersion(const std::shared_ptr<Http::ServerConnection>& connection, int status,
+                          Common::Json body);
 
   Http::TcpListener m_listener;
   Http::ServerLimits m_limits;
   std::map<Http::ServerConnection*, std::shared_ptr<Http::ServerConnection>> m_connections;
   std::map<std::string, std::map<std::string, Row>> m_tables;
   std::int64_t m_version = 1;
-  std::int64_t m_history_floor = 0;
-  std::list<Waiter> m_waiters;
-  StoreMood m_mood = StoreMood::Well;
+  std::int64_t m_history_start = 0;
+  std::list<PendingFeed> m_pending_feeds;
+  StoreFault m_fault = StoreFault::None;
 };
 } // namespace Soak
--- a/Source/StandIns/WeightStore/Main.cpp
+++ b/Source/StandIns/WeightStore/Main.cpp
@@ -1,9 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// The weight store's stand-in: starts a limited number of loads a second, runs a limited number at
-// full speed, and shares that speed among more. It also keeps the ledger of which artifact lies in
-// which backend server's memory, from which the scenarios read peaks over all data centres.
+// Stand-in for the weight store: starts a limited number of loads per second, runs a limited number
+// of them at full speed, and divides that bandwidth among them if there are more. It also records
+// which backend servers hold which artifact in memory; the scenarios read from it the highest
+// number of copies over all data centres.
 
 #include <algorithm>
 #include <deque>
@@ -12,7 +13,7 @@
 #include <set>
 
 #include "Common/Loop.h"
-#include "StandIns/Kit/StandIn.h"
+#include "StandIns/Support/StandInProgram.h"
 
 namespace
 {
@@ -25,15 +26,17 @@
 
 struct Transfer
 {
-  double left_ms;
+  double left_ms; ///< At full speed.
   Common::Completion<bool> done;
 };
 
 class WeightStore
 {
 public:
-  WeightStore(double starts_per_second, int full_speed, double load_ms)
-      : m_starts_per_second(starts_per_second), m_full_speed(full_speed), m_load_ms(load_ms)
+  WeightStore(double starts_per_second, int full_speed_loads, double load_ms)
+      : m_starts_per_second(starts_per_second),
+        m_full_speed_loads(full_speed_loads),
+        m_load_ms(load_ms)
   {
     ScheduleTick();
   }
@@ -47,7 +50,7 @@
     exchange->RespondJson(200, Json::object());
   }
 
-  /// Body: vm, artifact, loaded (true or false); or vm, reset.
+  /// Body: vm, artifact, loaded (true or false); or vm, reset, when the backend server starts.
   Task<void> Ledger(Http::ExchangePtr exchange)
   {
     const Json body = Common::ParseJson(exchange->Body()).value_or(Json::object());
@@ -83,6 +86,7 @@
   }
 
 private:
+  /// Calls Advance() every TICK.
   void ScheduleTick()
   {
     Common::CallAfter(TICK, [this] {
@@ -91,52 +95,55 @@
     });
   }
 
+  /// Advances the running transfers and starts waiting ones as the token bucket allows.
   void Advance()
   {
     const auto now = Common::Now();
-    const double passed_ms = std::chrono::duration<double, std::milli>(now - m_last).count();
-    m_last = now;
-    const double sharing = std::max(1.0, static_cast<double>(m_running.size()) / m_full_speed);
+    const double elapsed_ms = std::chrono::duration<double, std::milli>(now - m_last_tick).count();
+    m_last_tick = now;
+    const double slowdown =
+        std::max(1.0, static_cast<double>(m_running.size()) / m_full_speed_loads);
     for (Transfer& transfer : m_running)
     {
-      transfer.left_ms -= passed_ms * m_speed / sharing;
+      transfer.left_ms -= elapsed_ms * m_speed / slowdown;
       if (transfer.left_ms <= 0)
         transfer.done.Set(true);
     }
     m_running.remove_if([](const Transfer& transfer) {
       return transfer.left_ms <= 0;
     });
-    m_tokens = std::min(1.0, m_tokens + passed_ms / 1000 * m_starts_per_second * m_speed);
-    while (!m_waiting.empty() && m_tokens >= 1.0)
+    m_start_tokens =
+        std::min(1.0, m_start_tokens + elapsed_ms / 1000 * m_starts_per_second * m_speed);
+    while (!m_waiting.empty() && m_start_tokens >= 1.0)
     {
-      m_tokens -= 1.0;
+      m_start_tokens -= 1.0;
       m_running.push_back(m_waiting.front());
       m_waiting.pop_front();
     }
   }
 
   double m_starts_per_second;
-  int m_full_speed;
+  int m_full_speed_loads;
   double m_load_ms;
-  double m_speed = 1.0;
-  double m_tokens = 1.0;
-  Common::TimePoint m_last = Common::Now();
+  double m_speed = 1.0;        ///< Factor on the bandwidth and the start rate.
+  double m_start_tokens = 1.0; ///< Token bucket for starts; holds one at most.
+  Common::TimePoint m_last_tick = Common::Now();
   std::deque<Transfer> m_waiting;
   std::list<Transfer> m_running;
   std::int64_t m_fetches = 0;
-  std::map<std::string, std::set<std::string>> m_holders;
-  std::map<std::string, std::size_t> m_peaks;
+  std::map<std::string, std::set<std::string>> m_holders; ///< Backend servers by artifact.
+  std::map<std::string, std::size_t> m_peaks; ///< Highest number of holders by artifact.
 };
 } // namespace
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options options("standin-weight-store", "Stand-in of the weight store");
+  cxxopts::Options options("standin-weight-store", "Stand-in for the weight store");
   StandIns::AddListenOptions(options);
-  options.add_options()("starts-per-second", "loads started a second",
+  options.add_options()("starts-per-second", "loads started per second",
                         cxxopts::value<double>()->default_value("3"))(
-      "full-speed", "loads that run at full speed at once",
-      cxxopts::value<int>()->default_value("4"))("load-ms", "duration of one load at full speed",
+      "full-speed", "concurrent loads that run at full speed",
+      cxxopts::value<int>()->default_value("4"))("load-ms", "duration of a load at full speed",
                                                  cxxopts::value<double>()->default_value("600"));
   const cxxopts::ParseResult parsed = StandIns::ParseOrExit(options, argc, argv);
   Common::InitLog(argv[0]);
@@ -152,5 +159,5 @@
   server.Handle("/control", [&store](Http::ExchangePtr exchange) {
     return store.Control(exchange);
   });
-  return StandIns::Serve(server, parsed);
+  return StandIns::ListenAndRun(server, parsed);
 }
