--- a/Source/StandIns/Soak/Main.cpp
+++ b/Source/StandIns/Soak/Main.cpp
@@ -131,7 +131,8 @@
     m_processes.KillAll();
     std::cout << m_checker.DescribeCrashingRequests();
     if (m_rate_limits_servers)
-      std::cout << m_checker.RateLimitedArrivals() << " requests arrived at servers whose rate limit was known\n";
+      std::cout << m_checker.RateLimitedArrivals()
+                << " requests arrived at servers whose rate limit was known\n";
     if (m_drains_and_backs_off_servers)
       std::cout << m_checker.DrainAnnouncements() << " announcements that a server is draining, "
                 << m_checker.BackoffAnnouncements() << " that it wants a backoff\n";
@@ -168,8 +169,9 @@
       models.push_back("m" + std::to_string(i));
     for (int i = 0; i < SERVERS; ++i)
     {
-      m_servers.push_back(std::make_unique<StandInServer>(
-          "s" + std::to_string(i), EndpointAt(m_net + ".2", FIRST_PORT + i), m_store, m_checker, models));
+      m_servers.push_back(std::make_unique<StandInServer>("s" + std::to_string(i),
+                                                          EndpointAt(m_net + ".2", FIRST_PORT + i),
+                                                          m_store, m_checker, models));
       RequireStarted(static_cast<bool>(m_servers.back()->Listen()), "server");
     }
     PutConfiguration();
@@ -250,7 +252,8 @@
                    route("/once/", "non_idempotent", 1, false, false),
                    route("/stream/", "streaming", 2, true, true),
                    route("/one/", "streaming", 1, true, false)};
-    const int route_count = INITIAL_ROUTES + ROUTES_PER_CHANGE * static_cast<int>(m_configuration_version);
+    const int route_count =
+        INITIAL_ROUTES + ROUTES_PER_CHANGE * static_cast<int>(m_configuration_version);
     for (int i = 0; i < route_count; ++i)
       routes.push_back(route(RoutePrefix(i), "idempotent", 2, false, false));
     m_newest_path = RoutePrefix(route_count - 1) + "x";
@@ -293,15 +296,16 @@
                                "body"};
     if (type == RequestType::ResumableStream || type == RequestType::NonRepeatableStream)
       request.headers.push_back(
-          {"Model", "m" + std::to_string(std::min(Draw(m_requested_models), Draw(m_requested_models)))});
+          {"Model",
+           "m" + std::to_string(std::min(Draw(m_requested_models), Draw(m_requested_models)))});
     m_checker.RecordSent(id, type, daemon.name);
     daemon.caller_channel->Call(request, CALLER_TIMEOUTS,
-                         [this, id](Common::Result<Http::WholeAnswer> response) {
-                           if (response)
-                             m_checker.RecordResponse(id, response->status, response->body);
-                           else
-                             m_checker.RecordResponse(id, 0, "");
-                         });
+                                [this, id](Common::Result<Http::WholeAnswer> response) {
+                                  if (response)
+                                    m_checker.RecordResponse(id, response->status, response->body);
+                                  else
+                                    m_checker.RecordResponse(id, 0, "");
+                                });
   }
 
   /// Sends the same few crashing requests repeatedly, to random daemons and each time under a new
@@ -321,7 +325,8 @@
         std::string(StandInServer::CRASHING_BODY_PREFIX).append(std::to_string(number))};
     if (!is_plain)
       request.headers.push_back({"Model", "m" + std::to_string(number - 1)});
-    m_checker.RecordSent(id, is_plain ? RequestType::Repeatable : RequestType::ResumableStream, daemon.name);
+    m_checker.RecordSent(id, is_plain ? RequestType::Repeatable : RequestType::ResumableStream,
+                         daemon.name);
     if (daemon.expected_to_run)
       daemon.caller_channel->Call(request, CALLER_TIMEOUTS, [](const auto&) {});
     After(CRASHING_REQUEST_INTERVAL, [this] {
@@ -542,13 +547,13 @@
           {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "2000"}},
           "body"};
       m_checker.RecordSent(id, RequestType::Repeatable, daemon.name);
-      daemon.caller_channel->Call(request, CALLER_TIMEOUTS,
-                           [this, id](Common::Result<Http::WholeAnswer> response) {
-                             const int status = response ? response->status : 0;
-                             m_checker.RecordResponse(id, status, response ? response->body : "");
-                             if (status != STATUS_OK)
-                               m_checker.ReportViolation("daemon does not serve the newest route: " + id);
-                           });
+      daemon.caller_channel->Call(
+          request, CALLER_TIMEOUTS, [this, id](Common::Result<Http::WholeAnswer> response) {
+            const int status = response ? response->status : 0;
+            m_checker.RecordResponse(id, status, response ? response->body : "");
+            if (status != STATUS_OK)
+              m_checker.ReportViolation("daemon does not serve the newest route: " + id);
+          });
     }
   }
 
@@ -623,7 +628,8 @@
       cxxopts::value<std::string>()->default_value("build/bin/drumpondd"))(
       "restarts-under-id", "about half of the restarted servers keep their id")(
       "crashing-requests", "send requests repeatedly that crash the servers that run them")(
-      "late-crashing-requests", "send crashing requests only after others have had time to complete")(
+      "late-crashing-requests",
+      "send crashing requests only after others have had time to complete")(
       "limited-servers", "servers announce rate limits")(
       "leaving-servers", "servers announce that they are draining, or ask daemons to back off");
   const auto parsed = options.parse(argc, argv);
