--- a/Source/Core/Http/Channel.cpp
+++ b/Source/Core/Http/Channel.cpp
@@ -12,7 +12,7 @@
 {
 namespace
 {
-/// Idle connections kept to one peer.
+/// Maximum number of idle connections to one peer.
 constexpr std::size_t MAX_IDLE = 4;
 
 Common::FailureKind KindOf(Breakage breakage)
@@ -91,7 +91,8 @@
   void OnAnswerBroken(Breakage breakage) override
   {
     connection = nullptr;
-    m_channel.Finish(this, Common::Failure{KindOf(breakage), "the connection broke"});
+    m_channel.Finish(this, Common::Failure{KindOf(breakage),
+                                           "the exchange failed before the response was complete"});
   }
 
   Callback callback;
@@ -105,7 +106,8 @@
     });
   }
 
-  /// Looks at the time of the last byte only here: a timer set anew for each piece would cost more.
+  /// Checks the time of the last byte only here: restarting the timer for each read would cost
+  /// more.
   void OnTimer()
   {
     const auto silence = Silence();
@@ -119,10 +121,10 @@
   {
     const bool sent = connection->HasSent();
     const auto kind = sent ? Common::FailureKind::Timeout : Common::FailureKind::NotSent;
-    m_channel.Finish(this, Common::Failure{kind, "no answer in time" + Progress()});
+    m_channel.Finish(this, Common::Failure{kind, "no complete response in time" + Progress()});
   }
 
-  /// Since the last byte of the answer; nothing where none has come.
+  /// Time since the last byte of the response, or nullopt where none has been received.
   std::optional<Common::Milliseconds> Silence() const
   {
     if (!m_heard_at)
@@ -130,13 +132,13 @@
     return std::chrono::floor<Common::Milliseconds>(Common::Now() - *m_heard_at);
   }
 
-  /// How far the answer had come: tells a peer that is silent from one whose answer takes long.
+  /// Describes the response so far, to distinguish an unresponsive peer from a long response.
   std::string Progress() const
   {
     const auto silence = Silence();
     if (!silence)
-      return ", nothing came";
-    return ", " + std::to_string(m_answer.body.size()) + " bytes came, the last " +
+      return ", no bytes received";
+    return ", " + std::to_string(m_answer.body.size()) + " body bytes received, the last " +
            std::to_string(silence->count()) + " ms ago";
   }
 
@@ -144,7 +146,7 @@
   Patience m_patience;
   Common::OwnedTimer m_timer;
   WholeAnswer m_answer;
-  std::optional<Common::TimePoint> m_heard_at; ///< When bytes of the answer came last.
+  std::optional<Common::TimePoint> m_heard_at; ///< Last receipt of response bytes.
 };
 
 Channel::Channel(const Endpoint& peer, const KernelLimits& limits)
@@ -163,7 +165,7 @@
   if (!connection)
   {
     Common::Reactor::Get().After(Common::Milliseconds(1), [callback = std::move(callback)] {
-      callback(Common::Failure{Common::FailureKind::NotSent, "no socket left"});
+      callback(Common::Failure{Common::FailureKind::NotSent, "could not open a socket"});
     });
     return;
   }
@@ -185,7 +187,7 @@
   });
   const std::unique_ptr<PendingCall> owned = std::move(*found);
   m_pending.erase(found);
-  // The callback may destroy this channel: nothing of it is touched afterwards.
+  // The callback may destroy this channel, so no member may be used after it.
   const Callback callback = std::move(owned->callback);
   callback(std::move(result));
 }
--- a/Source/Core/Http/Channel.h
+++ b/Source/Core/Http/Channel.h
@@ -14,7 +14,7 @@
 
 namespace Http
 {
-/// A whole answer in memory.
+/// A complete HTTP response, held in memory.
 struct WholeAnswer
 {
   int status = 0;
@@ -24,7 +24,7 @@
   const std::string* Find(std::string_view name) const;
 };
 
-/// A whole request in memory.
+/// A complete HTTP request, held in memory.
 struct WholeRequest
 {
   std::string method;
@@ -33,20 +33,22 @@
   std::string body;
 };
 
-/// The bytes of a request with its Host and Content-Length.
+/// Serializes a request. Adds a Host header where the request has none, and a Content-Length where
+/// it has a body.
 std::string Serialise(const WholeRequest& request, const Endpoint& peer);
 
-/// How long a peer may be silent within a call. The whole of an answer has no limit: its size has
-/// no bound, and where that met a fixed time, a row of 1,073 KB never came over a link of 10
-/// Mbit/s.
+/// How long a call waits for the next bytes of the response. The complete response has no time
+/// limit, because its size is unbounded: with a fixed limit, a row of 1,073 KB could never be read
+/// over a link of 10 Mbit/s.
 struct Patience
 {
-  Common::Milliseconds before_head; ///< From the call to the head of the answer.
-  Common::Milliseconds within_body; ///< From any byte of the answer to the next.
+  Common::Milliseconds before_head; ///< From the call to the response head.
+  Common::Milliseconds within_body; ///< From one byte of the response to the next.
 };
 
-/// Calls with whole answers to one peer, over connections that are kept. A call is never repeated:
-/// failures are NotSent where no byte went out, else Timeout, OutcomeUnknown or Protocol.
+/// Makes HTTP calls to one peer over persistent connections and returns complete responses. A call
+/// is never retried. It fails with NotSent only if no byte of the request was sent or its send
+/// deadline passed before the rest was, else with Timeout, OutcomeUnknown or Protocol.
 class Channel
 {
 public:
@@ -58,10 +60,10 @@
   Channel& operator=(const Channel&) = delete;
 
   const Endpoint& Peer() const { return m_peer; }
-  /// Nothing of the request goes out at `before` or later; it then fails with NotSent.
+  /// Sends no byte of the request at `before` or later; the call then fails with NotSent.
   void Call(const WholeRequest& request, const Patience& patience, Callback callback,
             Common::TimePoint before = ANY_TIME);
-  /// Resets all calls on their way, without an answer to their callers.
+  /// Resets the connections of all pending calls, without invoking their callbacks.
   void Abandon();
 
 private:
--- a/Source/Core/Http/Client.cpp
+++ b/Source/Core/Http/Client.cpp
@@ -23,7 +23,7 @@
 
 constexpr guint MAX_CONNECTIONS = 20000;
 constexpr guint IDLE_SECONDS = 30;
-/// What one read takes at most; the memory that an open stream holds.
+/// Maximum size of one read, and the memory that each open stream holds for its buffer.
 constexpr gsize READ_BYTES = 8 * 1024;
 constexpr std::size_t MAX_RESPONSE_BYTES = 64 * 1024 * 1024;
 
@@ -43,9 +43,9 @@
   return headers;
 }
 
-/// Cancels an operation after a time, and remembers that it was the timer. All timers share one
-/// tick: a source of the main loop for each read would be looked at in every turn of the loop,
-/// which with a thousand open streams costs more than the reads.
+/// Cancels an operation after a delay and records that the timer did so. All timers share one
+/// periodic tick: with a main-loop source for each read, the loop would check all of them in every
+/// iteration, which with a thousand open streams costs more than the reads.
 class Timer
 {
 public:
@@ -79,7 +79,8 @@
       timer->m_expired = true;
       due.push_back(GRef<GCancellable>::Share(timer->m_cancellable));
     }
-    // Cancelling resumes coroutines, which end timers.
+    // Cancelling resumes coroutines, which destroy timers: it must not happen within the loop
+    // above.
     for (const auto& cancellable : due)
       g_cancellable_cancel(cancellable.Get());
   }
@@ -93,15 +94,16 @@
   bool m_expired = false;
 };
 
-/// Whether any byte of the request can have left. libsoup emits "starting" once it has a
-/// connection and begins to write.
+/// Records whether any byte of the request can have been sent. libsoup emits "starting" once it has
+/// a connection and begins to write.
 struct SendState
 {
   bool started = false;
 };
 
-/// What was written but not acknowledged is dropped by the kernel after this time, also when the
-/// connection or the process is closed: nothing of an order arrives later than that.
+/// TCP_USER_TIMEOUT for requests with `fresh_connection`: the kernel drops unacknowledged bytes
+/// after this time, also if the socket has been closed or the process has exited, so that no part
+/// of an order arrives later than that.
 constexpr int UNACKNOWLEDGED_LIMIT_MS = 10000;
 
 void OnNetworkEvent(SoupMessage*, GSocketClientEvent event, GIOStream* connection, gpointer)
@@ -141,11 +143,11 @@
 
 Failure SendFailure(const GError* error, bool started, bool expired)
 {
-  const std::string detail = error ? error->message : "no answer";
+  const std::string detail = error ? error->message : "no response";
   if (!started)
     return {FailureKind::NotSent, detail};
   if (expired)
-    return {FailureKind::Timeout, "no answer in time"};
+    return {FailureKind::Timeout, "no response in time"};
   return {FailureKind::OutcomeUnknown, detail};
 }
 
@@ -161,7 +163,8 @@
 
   ~SoupStream() override
   {
-    // An unread rest must not be waited for: the connection is dropped with the stream.
+    // Cancelled, so that closing does not wait for the unread rest of the body: the connection is
+    // dropped with the stream.
     g_cancellable_cancel(m_cancellable.Get());
     g_input_stream_close_async(m_stream.Get(), G_PRIORITY_DEFAULT, m_cancellable.Get(), nullptr,
                                nullptr);
@@ -172,7 +175,7 @@
 
   Task<Result<std::string>> Read(Common::Milliseconds patience) override
   {
-    // The stream may be destroyed by its owner only between reads.
+    // The owner must not destroy the stream while a read is pending.
     const Timer timer(m_cancellable.Get(), patience);
     if (m_buffer.empty())
       m_buffer.resize(READ_BYTES);
@@ -211,7 +214,7 @@
 
 Client::Client() : m_impl(std::make_shared<Impl>())
 {
-  // Backend servers and the platform are reached by their address, never through a proxy.
+  // Backend servers and the platform are connected to directly, never through a proxy.
   soup_session_set_proxy_resolver(m_impl->session.Get(), nullptr);
 }
 
@@ -223,7 +226,7 @@
   SendState state;
   GRef<SoupMessage> message = NewMessage(request, &state);
   if (!message)
-    co_return Failure{FailureKind::InvalidInput, "not a URL: " + request.url};
+    co_return Failure{FailureKind::InvalidInput, "invalid URL: " + request.url};
   const GRef<GCancellable> cancellable(g_cancellable_new());
   const Timer timer(cancellable.Get(), request.timeout);
   GioAwait await;
@@ -261,7 +264,7 @@
       co_return response;
     response.body += *chunk;
     if (response.body.size() > MAX_RESPONSE_BYTES)
-      co_return Failure{FailureKind::Protocol, "the answer is too large"};
+      co_return Failure{FailureKind::Protocol, "the response is too large"};
   }
 }
 } // namespace Http
--- a/Source/Core/Http/Client.h
+++ b/Source/Core/Http/Client.h
@@ -15,10 +15,10 @@
 
 namespace Http
 {
-/// Header names are in lower case.
+/// Headers by name; names are in lower case.
 using Headers = std::map<std::string, std::string>;
 
-/// One request of this process to another.
+/// An outgoing HTTP request.
 struct Request
 {
   std::string method = "GET";
@@ -26,10 +26,12 @@
   Headers headers;
   std::string body;
   std::string content_type = "application/json";
-  /// From the call to the head of the answer; for `Client::Send` also between two pieces of it. The
-  /// whole has no limit: a list that took longer than the call would never come.
+  /// Limits the time from the call to the response head and, for `Client::Send`, each read of the
+  /// body. The complete response has no time limit: a list whose transfer takes longer than the
+  /// timeout could otherwise never be read.
   Common::Milliseconds timeout{10000};
-  /// Never reuses a connection: what may not be repeated must not meet one that just closed.
+  /// Opens a new connection, since a reused one may just have been closed by the peer and a request
+  /// that is not repeatable could then not be retried.
   bool fresh_connection = false;
 };
 
@@ -40,7 +42,7 @@
   std::string body;
 };
 
-/// The body of an answer as it arrives. Destroying it closes the exchange.
+/// The body of a response as it arrives. Destroying the stream closes the exchange.
 class ResponseStream
 {
 public:
@@ -48,16 +50,16 @@
 
   virtual int Status() const = 0;
   virtual const Headers& GetHeaders() const = 0;
-  /// The next bytes; empty at the end of a body that was framed properly.
-  /// Fails with OutcomeUnknown where it breaks off, with Timeout where nothing came in `patience`.
+  /// Returns the next bytes, or an empty string at the end of a complete body. Fails with
+  /// OutcomeUnknown where the body is truncated, with Timeout where no bytes arrive within
+  /// `patience`.
   virtual Common::Task<Common::Result<std::string>> Read(Common::Milliseconds patience) = 0;
-  /// Ends a read that waits; the answer is no longer wanted.
+  /// Cancels a pending read and the rest of the response.
   virtual void Cancel() = 0;
 };
 
-/// HTTP/1.1 towards back ends and the platform, over libsoup.
-/// Failures: NotSent where no byte of the request can have reached the peer, else OutcomeUnknown
-/// or Timeout.
+/// An HTTP/1.1 client for backend servers and the platform, based on libsoup. Requests fail with
+/// NotSent where no byte can have reached the peer, else with OutcomeUnknown or Timeout.
 class Client
 {
 public:
@@ -66,9 +68,9 @@
   Client(const Client&) = delete;
   Client& operator=(const Client&) = delete;
 
-  /// Sends and reads the whole answer. Fails with Protocol beyond 64 MB.
+  /// Sends a request and reads the complete response. Fails with Protocol beyond 64 MB.
   Common::Task<Common::Result<Response>> Send(Request request);
-  /// Sends and gives the answer once its head is here.
+  /// Sends a request and returns the response as soon as its head has been received.
   Common::Task<Common::Result<std::unique_ptr<ResponseStream>>> Open(Request request);
 
 private:
--- a/Source/Core/Http/GioAwait.h
+++ b/Source/Core/Http/GioAwait.h
@@ -10,7 +10,7 @@
 
 namespace Http
 {
-/// Owns one reference of a GObject.
+/// Smart pointer that owns one reference to a GObject.
 template <typename T>
 class GRef
 {
@@ -43,7 +43,8 @@
   T* m_object = nullptr;
 };
 
-/// Awaits one asynchronous GIO call: pass `Ready` as its callback and the object as its data.
+/// Awaitable for one asynchronous GIO call: pass `Ready` as its callback and a pointer to this
+/// object as its user data.
 class GioAwait
 {
 public:
--- a/Source/Core/Http/HttpDate.h
+++ b/Source/Core/Http/HttpDate.h
@@ -9,6 +9,6 @@
 
 namespace Http
 {
-/// A date of an HTTP header (RFC 9110, 5.6.7).
+/// Parses the date of an HTTP header (RFC 9110, section 5.6.7); nullopt where it is invalid.
 std::optional<std::chrono::system_clock::time_point> ParseHttpDate(const std::string& text);
 } // namespace Http
--- a/Source/Core/Http/IdleConnections.h
+++ b/Source/Core/Http/IdleConnections.h
@@ -11,7 +11,7 @@
 
 namespace Http
 {
-/// Connections to one peer that wait for their next request; the newest is used first.
+/// A pool of idle connections to one peer; the most recently used one is reused first.
 class IdleConnections
 {
 public:
@@ -20,9 +20,9 @@
   IdleConnections(const IdleConnections&) = delete;
   IdleConnections& operator=(const IdleConnections&) = delete;
 
-  /// One that may carry another request, or nullptr; closes those that may not.
+  /// Returns a reusable connection, or nullptr; closes those that are not reusable.
   std::shared_ptr<OriginConnection> Take(Common::TimePoint now);
-  /// Keeps a connection if it may carry another request.
+  /// Adds a connection if it is reusable; closes the oldest one where the pool is full.
   void Keep(std::shared_ptr<OriginConnection> connection, Common::TimePoint now);
 
 private:
--- a/Source/Core/Http/MessageParser.cpp
+++ b/Source/Core/Http/MessageParser.cpp
@@ -15,7 +15,7 @@
 constexpr int CONTINUE_PARSING = 0;
 constexpr int SKIP_BODY = 1;
 constexpr int STOP_PARSING = -1;
-/// Bytes around a header line: ": " and the line's end.
+/// Bytes of a header line besides name and value: ": " and CRLF.
 constexpr std::size_t HEADER_LINE_OVERHEAD = 4;
 
 MessageParser& Self(http_parser* parser)
@@ -23,8 +23,9 @@
   return *static_cast<MessageParser*>(parser->data);
 }
 
-/// http-parser takes blanks in a header's name. Passed on, such a header may name something else at
-/// the next reader: "Key : x" is no header "Key" here, and is one where blanks are dropped.
+/// http-parser accepts whitespace in header names. If such a header were forwarded, the next server
+/// might read another name: "Key : x" is not the header "Key" here, but is where whitespace is
+/// stripped.
 bool HasBlankInAName(const MessageHead& head)
 {
   return std::ranges::any_of(head.headers, [](const HeaderField& field) {
@@ -145,7 +146,7 @@
 {
   MessageParser& self = Self(parser);
   if (self.m_head_done)
-    return CONTINUE_PARSING; // A trailer field; trailers are dropped.
+    return CONTINUE_PARSING; // A trailer field; trailers are discarded.
   if (self.m_value_open || self.m_head.headers.empty())
   {
     self.m_head.headers.emplace_back();
--- a/Source/Core/Http/MessageParser.h
+++ b/Source/Core/Http/MessageParser.h
@@ -14,7 +14,7 @@
 
 namespace Http
 {
-/// One header line as it came.
+/// One header line, as received.
 struct HeaderField
 {
   std::string name;
@@ -23,38 +23,38 @@
 
 bool EqualIgnoringCase(std::string_view a, std::string_view b);
 
-/// The head of a request or of an answer, names, values and order as on the wire.
+/// The head of a request or response. Header names, values and order are those on the wire.
 struct MessageHead
 {
-  std::string method; ///< Requests.
-  std::string target; ///< Requests: path and query, unchanged.
-  int status = 0;     ///< Answers.
-  std::string reason; ///< Answers.
+  std::string method; ///< Requests only.
+  std::string target; ///< Requests only: path and query, unmodified.
+  int status = 0;     ///< Responses only.
+  std::string reason; ///< Responses only.
   std::vector<HeaderField> headers;
   bool chunked = false;
-  bool keep_alive = false;                     ///< As the message itself says.
-  std::optional<std::uint64_t> content_length; ///< Bytes of the body where it is given.
-  bool ends_with_connection = false;           ///< Answers: a body without a length.
+  bool keep_alive = false;                     ///< By version, Connection header and body framing.
+  std::optional<std::uint64_t> content_length; ///< Size of the body, where it is given.
+  bool ends_with_connection = false;           ///< Responses only: the body has no length.
 
-  /// The first header of this name, or nullptr.
+  /// Returns the value of the first header of this name, or nullptr.
   const std::string* Find(std::string_view name) const;
-  /// How often a header of this name occurs.
+  /// Returns the number of headers of this name.
   std::size_t Count(std::string_view name) const;
 };
 
-/// Told of the parts of one message.
+/// Receives the parts of a message as they are parsed.
 class MessageSink
 {
 public:
   virtual ~MessageSink() = default;
   virtual void OnHead(MessageHead& head) = 0;
-  /// Of an interim answer (1xx), which has no body and is followed by another answer.
+  /// Called for an interim response (1xx), which has no body and is followed by another response.
   virtual void OnInterimHead(MessageHead&) {}
   virtual void OnBody(std::string_view bytes) = 0;
   virtual void OnMessageEnd() = 0;
 };
 
-/// Reads one HTTP/1.1 message at a time out of a stream of bytes (http-parser does the grammar).
+/// Parses one HTTP/1.1 message at a time from a byte stream, based on http-parser.
 class MessageParser
 {
 public:
@@ -66,7 +66,7 @@
   enum class Status
   {
     NeedsMore,
-    MessageEnded, ///< `consumed` bytes belong to the message; call `Restart` for the next.
+    MessageEnded, ///< `consumed` bytes belong to the message; call `Restart` before the next.
     Malformed,
     HeaderTooLarge,
   };
@@ -76,15 +76,15 @@
   MessageParser& operator=(const MessageParser&) = delete;
 
   void SetHeaderLimit(std::size_t bytes) { m_header_limit = bytes; }
-  /// The answer to come has no body, whatever its head says.
+  /// Declares that the next response has no body, whatever its headers state.
   void ExpectNoBody(bool no_body) { m_no_body = no_body; }
 
   Status Feed(std::string_view bytes, std::size_t* consumed);
-  /// The connection ended in order: completes a body without a length.
+  /// Handles an orderly close of the connection, which completes a body without a length.
   Status FeedEnd();
   void Restart();
 
-  /// True where the first byte of a message has been read and not its last.
+  /// True from the first byte of a message until its last one.
   bool InMessage() const { return m_in_message; }
 
 private:
--- a/Source/Core/Http/OriginConnection.cpp
+++ b/Source/Core/Http/OriginConnection.cpp
@@ -10,14 +10,15 @@
 {
 namespace
 {
-/// How long an idle connection is trusted where the origin server announces no limit. Short against
-/// the usual 5 s and more of servers, since a request that meets the close may not be repeatable.
+/// How long an idle connection is reused where the origin server announces no idle timeout. Well
+/// below the 5 s or more that are usual for servers, since a request that is sent while the server
+/// closes the connection may not be repeatable.
 constexpr Common::Milliseconds DEFAULT_IDLE_LIMIT{2000};
-/// The part of an announced limit that is used: the announcement is in whole seconds and its clock
-/// runs at the other end.
+/// Fraction of an announced idle timeout that is used, since the timeout is announced in whole
+/// seconds and measured by the peer's clock.
 constexpr double IDLE_LIMIT_SHARE = 0.6;
-/// A connection takes a round trip, some ms between data centres; where it takes this long the peer
-/// is cut off, or a packet was lost, which the kernel would send again only after a second.
+/// Connecting takes one round trip, a few ms between data centres. If it takes this long, the peer
+/// is cut off or a packet was lost, which the kernel would retransmit only after a second.
 constexpr Common::Milliseconds CONNECT_TIMEOUT{400};
 
 std::optional<Common::Milliseconds> ParseTimeoutParameter(const std::string& keep_alive)
@@ -64,7 +65,8 @@
 
 void OriginConnection::OnConnected()
 {
-  // The VM was suspended meanwhile: the request names the time that its caller had before.
+  // Connected past the deadline, so the VM was suspended in between. The request must not be sent,
+  // since it states the time that its caller had left before the suspension.
   if (m_events != nullptr && Common::Now() >= m_connect_by)
     Break(Breakage::ConnectTimedOut);
 }
@@ -73,8 +75,8 @@
 {
   const bool in_exchange = std::exchange(m_events, nullptr) != nullptr;
   m_keep_alive = false;
-  // What is given up must not arrive later: behind a cut the kernel would go on sending after a
-  // plain close, and deliver the request when the cut heals.
+  // An abandoned request must not arrive later. After a plain close during a network partition, the
+  // kernel would keep retransmitting and deliver the request once the partition heals.
   if (in_exchange || m_stream->Unsent() > 0)
     m_stream->Reset();
   else
@@ -99,7 +101,7 @@
   {
     if (m_events == nullptr)
     {
-      // Bytes while no request is waiting belong to none.
+      // Bytes that arrive while no request is open do not belong to any response.
       Abandon();
       return;
     }
@@ -128,7 +130,8 @@
     m_skipping = false;
     return;
   }
-  // An early answer leaves part of the request unsent; the server would read it as the next one.
+  // An early response leaves part of the request unsent, which the server would read as the start
+  // of the next request.
   const bool whole_request_sent = m_stream->Unsent() == 0;
   AnswerEvents* events = std::exchange(m_events, nullptr);
   if (surplus_follows || !whole_request_sent || !m_keep_alive)
--- a/Source/Core/Http/OriginConnection.h
+++ b/Source/Core/Http/OriginConnection.h
@@ -14,57 +14,58 @@
 
 namespace Http
 {
-/// Why an exchange with an origin server gave no whole answer.
+/// Why an exchange with an origin server produced no complete response.
 enum class Breakage
 {
-  ConnectFailed,   ///< No byte went out: the request cannot have run.
-  ConnectTimedOut, ///< The peer did not take the connection in time; no byte has gone out.
-  Closed,          ///< The connection ended before the answer was whole.
+  ConnectFailed,   ///< No byte was sent: the request cannot have run.
+  ConnectTimedOut, ///< The connection was not established in time; no byte was sent.
+  Closed,          ///< The peer closed before the response was complete.
   Reset,
-  TooLate,   ///< The request had not gone out by its time: no byte of it ever will.
-  Malformed, ///< Bytes that are no answer.
+  TooLate,   ///< The send deadline passed before the request was sent; no more of it will be.
+  Malformed, ///< The received bytes are not a valid response.
 };
 
-/// Told of the answer to one request. The call that ends the exchange is the last.
+/// Receives the response to one request. No call follows the one that ends the exchange.
 class AnswerEvents
 {
 public:
   enum class Verdict
   {
     Take,
-    Skip, ///< An answer to another request: ours may still follow it.
+    Skip, ///< A response to another request; the expected one may follow.
   };
 
   virtual ~AnswerEvents() = default;
   virtual Verdict OnAnswerHead(MessageHead& head) = 0;
-  /// An interim answer (1xx); the final one follows.
+  /// Called for an interim response (1xx); the final one follows.
   virtual void OnInterimHead(MessageHead&) {}
   virtual void OnAnswerBody(std::string_view bytes) = 0;
   virtual void OnAnswerEnd() = 0;
   virtual void OnAnswerBroken(Breakage breakage) = 0;
 };
 
-/// One connection to an origin server, one request at a time, never repeated by itself.
+/// A connection to an origin server. Carries one request at a time and never retries it.
 class OriginConnection : public StreamEvents,
                          public MessageSink,
                          public std::enable_shared_from_this<OriginConnection>
 {
 public:
-  /// Begins to connect; nullptr where the system has no socket left.
+  /// Starts to connect; returns nullptr where no socket can be opened or connected.
   static std::shared_ptr<OriginConnection> Connect(const Endpoint& peer,
                                                    const KernelLimits& limits = {});
 
-  /// Sends a whole request, or nothing of it at `before` and later. `events` must stay until the
-  /// exchange has ended or `Abandon`.
+  /// Sends a serialized request; no byte of it is sent at `before` or later. `events` must live
+  /// until the exchange has ended or `Abandon` has been called.
   void Send(const std::string& request, AnswerEvents* events, bool no_body_expected = false,
             Common::TimePoint before = ANY_TIME);
-  /// Ends the exchange and the connection; no event comes any more. The peer sees a close.
+  /// Ends the exchange and the connection without further events. During an exchange, or with
+  /// unsent output, the connection is reset; otherwise it is closed.
   void Abandon();
 
   bool IsConnected() const { return m_stream->IsConnected(); }
-  /// True where any byte of the request has gone out.
+  /// True if at least one byte has been sent over this connection.
   bool HasSent() const { return m_stream->HasSent(); }
-  /// True where the connection may carry another request at `now`.
+  /// True if the connection may carry another request at `now`.
   bool IsReusable(Common::TimePoint now) const;
   void SetReading(bool reading) { m_stream->SetReading(reading); }
 
@@ -88,8 +89,8 @@
   AnswerEvents* m_events = nullptr;
   bool m_skipping = false;
   bool m_keep_alive = true;
-  bool m_answered = false; ///< At least one answer has come whole over this connection.
-  std::optional<Common::Milliseconds> m_idle_limit; ///< As the origin server announced it.
+  bool m_answered = false; ///< At least one complete response has been received.
+  std::optional<Common::Milliseconds> m_idle_limit; ///< Announced by the origin server.
   Common::TimePoint m_idle_since;
   Common::TimePoint m_connect_by;
   Common::OwnedTimer m_connect_timer;
--- a/Source/Core/Http/Server.cpp
+++ b/Source/Core/Http/Server.cpp
@@ -17,10 +17,10 @@
 using Common::FailureKind;
 using Common::Task;
 
-/// What may wait in memory for one slow reader before its producer is held back.
+/// Maximum unsent bytes of one response; beyond it `Write` waits for the reader.
 constexpr std::size_t MAX_UNSENT_BYTES = 64 * 1024;
 constexpr int STATUS_TOO_LARGE = 413;
-/// GLib's default of 10 resets connections in a burst of first requests.
+/// With GLib's default of 10, connections are reset in a burst of first requests.
 constexpr int LISTEN_BACKLOG = 1024;
 constexpr int STATUS_UNAVAILABLE = 503;
 
@@ -212,21 +212,22 @@
   GRef<SoupServer> soup{SOUP_SERVER(g_object_new(SOUP_TYPE_SERVER, nullptr))};
   Limits limits;
   std::size_t open_exchanges = 0;
-  /// A deque keeps the handlers where libsoup's callbacks point to.
+  /// A deque, since libsoup's callbacks hold pointers to the handlers.
   std::deque<Handler> handlers;
 
   void Refuse(SoupServerMessage* message, int status, const char* reason)
   {
     const std::string body = std::string(R"({"error":{"type":")") + reason +
                              R"(","ran":"not_run","message":"refused before it was read"}})";
-    // A client that does not wait for the answer sends its body all the same: it is not stored.
+    // A client may send its body without waiting for the response; the body is then not stored.
     soup_message_body_set_accumulate(soup_server_message_get_request_body(message), FALSE);
     soup_server_message_set_status(message, static_cast<guint>(status), nullptr);
     soup_server_message_set_response(message, "application/json", SOUP_MEMORY_COPY, body.data(),
                                      body.size());
   }
 
-  /// Runs before the body is read: an oversized or surplus request is refused without storing it.
+  /// Runs before the body is read, so that a request that is too large or exceeds the number of
+  /// open requests is refused without storing its body.
   void RefuseEarly(SoupServerMessage* message)
   {
     SoupMessageHeaders* headers = soup_server_message_get_request_headers(message);
@@ -272,7 +273,8 @@
     Impl* impl;
     Handler* handler;
   };
-  // libsoup looks for an early handler only at the path whose handler serves the request.
+  // libsoup calls an early handler only if it is registered at the path of the handler that serves
+  // the request.
   soup_server_add_early_handler(
       m_impl->soup.Get(), prefix.c_str(),
       [](SoupServer*, SoupServerMessage* message, const char*, GHashTable*, gpointer data) {
@@ -284,7 +286,7 @@
   soup_server_add_handler(
       m_impl->soup.Get(), prefix.c_str(),
       [](SoupServer*, SoupServerMessage* message, const char* path, GHashTable*, gpointer data) {
-        // Refused before its body came.
+        // Already refused by the early handler.
         if (soup_server_message_get_status(message) != 0)
           return;
         auto* found = static_cast<Entry*>(data);
--- a/Source/Core/Http/Server.h
+++ b/Source/Core/Http/Server.h
@@ -14,7 +14,7 @@
 
 namespace Http
 {
-/// One request of a peer and the answer to it. Handlers share it; the answer is given once.
+/// A request of a peer and the response to it. Shared by handlers; only the first response counts.
 class Exchange
 {
 public:
@@ -24,34 +24,38 @@
   virtual const std::string& Path() const = 0;
   virtual const Headers& RequestHeaders() const = 0;
   virtual const std::string& Body() const = 0;
-  /// The value of a query parameter, empty where it is missing.
+  /// Returns the value of a query parameter, or an empty string where it is missing.
   virtual std::string Query(const std::string& name) const = 0;
-  /// The value of a header in lower case, empty where it is missing.
+  /// Returns the value of a header, or an empty string where it is missing. `name` is in lower
+  /// case.
   std::string Header(const std::string& name) const;
 
-  /// Gives the whole answer.
+  /// Sends a complete response.
   virtual void Respond(int status, const std::string& content_type, std::string body,
                        const Headers& headers = {}) = 0;
   void RespondJson(int status, const Common::Json& body, const Headers& headers = {});
 
-  /// Begins an answer of unknown length.
+  /// Starts a response of unknown length.
   virtual void StartStream(int status, const std::string& content_type,
                            const Headers& headers = {}) = 0;
-  /// Appends to the stream and waits while the peer reads slowly. False once the peer is gone.
+  /// Appends to the stream; waits while too many bytes are unsent. Returns false once the exchange
+  /// is closed.
   virtual Common::Task<bool> Write(std::string chunk) = 0;
   /// Ends the stream properly.
   virtual void EndStream() = 0;
-  /// Breaks the connection, so that the peer cannot take a short answer for a whole one.
+  /// Shuts the connection down, so that the peer cannot mistake a truncated response for a complete
+  /// one.
   virtual void Abort() = 0;
   virtual bool IsClosed() const = 0;
-  /// Calls back once if the peer leaves before the answer is complete.
+  /// Sets a callback that runs once when the exchange is finished, also after a complete response;
+  /// nullptr removes it.
   virtual void OnClosed(std::function<void()> callback) = 0;
 };
 
 using ExchangePtr = std::shared_ptr<Exchange>;
 using Handler = std::function<Common::Task<void>(ExchangePtr)>;
 
-/// An HTTP/1.1 server on the main loop, over libsoup.
+/// An HTTP/1.1 server on the main loop, based on libsoup.
 class Server
 {
 public:
@@ -68,10 +72,11 @@
 
   /// Calls `handler` for every path at or below `prefix`; the longest prefix wins.
   void Handle(const std::string& prefix, Handler handler);
-  /// Listens on an address of this machine. Fails where it is taken or malformed.
+  /// Listens on a local address. Fails with InvalidInput where it is malformed, with Unavailable
+  /// where listening fails, such as on a port in use.
   Common::Result<Common::Done> Listen(const std::string& address, int port);
   void StopListening();
-  /// The number of requests that have no complete answer yet.
+  /// Returns the number of requests whose response is not complete yet.
   std::size_t OpenExchanges() const;
 
 private:
--- a/Source/Core/Http/ServerConnection.cpp
+++ b/Source/Core/Http/ServerConnection.cpp
@@ -14,10 +14,12 @@
 {
 namespace
 {
-/// Bytes of pipelined requests that are kept while one is answered; then reading stops.
+/// Maximum bytes of pipelined requests that are buffered while a request is open; beyond it reading
+/// pauses.
 constexpr std::size_t MAX_UNREAD = 65536;
-/// Between the end of the idle time and the close the loop looks at all sockets once more: in a
-/// process that was busy a request may have come long before and would be lost with the connection.
+/// Delay between the end of the idle timeout and the close, in which the event loop polls all
+/// sockets once more: in a busy process, a request may have arrived long before and would be lost
+/// with the connection.
 constexpr Common::Milliseconds LAST_LOOK{1};
 
 std::string HexLength(std::size_t size)
@@ -80,7 +82,7 @@
 
 void ServerConnection::OnIdle()
 {
-  // The limit may have been raised while the connection rested.
+  // The timeout may have been raised while the connection was idle.
   const auto rested = std::chrono::floor<Common::Milliseconds>(Common::Now() - m_idle_since);
   const Common::Milliseconds left = m_handler.Limits().idle_timeout - rested;
   m_timer.Start(std::max(left, LAST_LOOK), [this, is_last = left <= LAST_LOOK] {
@@ -151,7 +153,7 @@
   const std::string* expect = head.Find("Expect");
   if (expect != nullptr && EqualIgnoringCase(*expect, "100-continue") && !m_body_too_large)
     m_stream->Write("HTTP/1.1 100 Continue\r\n\r\n");
-  // The time for the head is over; the body may take as long as the connection may rest.
+  // The header timeout no longer applies; the body must arrive within the idle timeout.
   StartIdleTimer();
   m_request.head = std::move(head);
 }
--- a/Source/Core/Http/ServerConnection.h
+++ b/Source/Core/Http/ServerConnection.h
@@ -14,8 +14,7 @@
 
 namespace Http
 {
-/// What a peer may send and how long it may take; shared by all connections and changed at any
-/// time.
+/// Size limits and timeouts of requests. Shared by all connections; may change at any time.
 struct ServerLimits
 {
   std::size_t header_bytes = 16384;
@@ -24,7 +23,7 @@
   Common::Milliseconds idle_timeout{15000};
 };
 
-/// A request whose last byte has been read.
+/// A completely received request.
 struct ReceivedRequest
 {
   MessageHead head;
@@ -33,7 +32,7 @@
 
 class ServerConnection;
 
-/// Serves the requests of connections.
+/// Handles the requests that connections receive.
 class RequestHandler
 {
 public:
@@ -41,12 +40,12 @@
   virtual void OnRequest(const std::shared_ptr<ServerConnection>& connection,
                          ReceivedRequest request) = 0;
   virtual const ServerLimits& Limits() const = 0;
-  /// True while the process is stopping: answers then announce the close.
+  /// True while the process is stopping; responses then carry `Connection: close`.
   virtual bool IsStopping() const = 0;
 };
 
-/// One accepted connection: reads a request, gives it to the handler, takes the answer. Pipelined
-/// requests wait in the connection.
+/// An accepted connection. Reads one request at a time, passes it to the handler and sends the
+/// response. Pipelined requests are buffered meanwhile.
 class ServerConnection : public StreamEvents,
                          public MessageSink,
                          public std::enable_shared_from_this<ServerConnection>
@@ -54,24 +53,24 @@
 public:
   static std::shared_ptr<ServerConnection> Adopt(int fd, RequestHandler& handler);
 
-  /// Answers with a whole body.
+  /// Sends a response with a complete body.
   void Respond(int status, std::string_view reason, const std::vector<HeaderField>& headers,
                std::string_view body);
-  /// Begins an answer in chunks.
+  /// Starts a response in chunked encoding.
   void BeginChunked(int status, std::string_view reason, const std::vector<HeaderField>& headers);
   void SendChunk(std::string_view bytes);
   void EndChunked();
-  /// Ends the connection in the middle of an answer, so that it does not look whole.
+  /// Closes the connection in the middle of a response, so that it is not taken for a complete one.
   void BreakAnswer();
-  /// Closes the connection where no request is open.
+  /// Closes the connection if no request is open or partly received and no output is unsent.
   void CloseIfIdle();
 
-  /// Called once if the peer goes while its request is open.
+  /// Sets a callback that runs once if the connection ends while a request is open.
   void OnPeerGone(std::function<void()> callback) { m_on_peer_gone = std::move(callback); }
   std::size_t UnsentBytes() const { return m_stream->Unsent(); }
-  /// Called when all written bytes have gone out; for backpressure.
+  /// Sets a callback that runs when the event loop has flushed the output buffer; for backpressure.
   void OnAllSent(std::function<void()> callback) { m_on_all_sent = std::move(callback); }
-  /// Called once when the connection is gone for good.
+  /// Sets a callback that runs once when the connection has closed.
   void OnFinished(std::function<void(ServerConnection*)> callback)
   {
     m_on_finished = std::move(callback);
@@ -101,11 +100,11 @@
   RequestHandler& m_handler;
   std::shared_ptr<TcpStream> m_stream;
   MessageParser m_parser;
-  std::string m_unread; ///< Bytes behind the request that is being answered.
+  std::string m_unread; ///< Bytes that follow the open request.
   ReceivedRequest m_request;
   bool m_request_open = false;
   bool m_close_after_answer = false;
-  bool m_head_only = false; ///< The request is a HEAD: no body in the answer.
+  bool m_head_only = false; ///< The request is a HEAD: the response has no body.
   bool m_consuming = false;
   bool m_body_too_large = false;
   Common::OwnedTimer m_timer;
@@ -115,6 +114,6 @@
   std::function<void(ServerConnection*)> m_on_finished;
 };
 
-/// The usual reason phrase of a status.
+/// Returns the reason phrase of a status code.
 std::string_view ReasonPhrase(int status);
 } // namespace Http
--- a/Source/Core/Http/TcpStream.cpp
+++ b/Source/Core/Http/TcpStream.cpp
@@ -23,8 +23,8 @@
 constexpr std::size_t READ_BYTES = 32768;
 constexpr int LISTEN_BACKLOG = 1024;
 constexpr int ACCEPTS_PER_TURN = 64;
-/// Keep-alive probes for connections that wait without sending: seconds idle, between probes, and
-/// how many may go unanswered.
+/// TCP keep-alive of idle connections: seconds until the first probe, seconds between probes, and
+/// the number of unanswered probes after which the connection fails.
 constexpr int KEEPALIVE_IDLE_S = 2;
 constexpr int KEEPALIVE_INTERVAL_S = 1;
 constexpr int KEEPALIVE_PROBES = 2;
@@ -32,7 +32,7 @@
 template <typename T>
 void SetOption(int fd, int level, int name, T value)
 {
-  // An option that the kernel lacks leaves the default, which is slower to notice a dead peer.
+  // If the kernel lacks an option, its default applies, which detects a failed peer later.
   (void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
@@ -143,7 +143,7 @@
     return;
   m_out.append(bytes);
   m_write_before = before;
-  // What is too late is seen again in the next turn of the loop, and ends the connection there.
+  // A passed deadline is detected again in the next loop iteration, which ends the connection.
   if (m_connected)
     (void)Flush();
   Arm();
@@ -153,13 +153,13 @@
 {
   while (Unsent() > 0)
   {
-    // Looked at right before the bytes leave: a freeze can lie between any two steps.
+    // Checked right before sending, since the process may be suspended between any two steps.
     if (m_write_before != ANY_TIME && Common::Now() >= m_write_before)
       return false;
     const ssize_t count = send(m_fd, m_out.data() + m_out_begin, Unsent(), MSG_NOSIGNAL);
     if (count < 0 && errno == EINTR)
       continue;
-    // A broken connection shows as a readable event or an error event next; it is handled there.
+    // A failed connection is reported and handled as a readable or error event next.
     if (count <= 0)
       return true;
     m_sent += static_cast<std::uint64_t>(count);
--- a/Source/Core/Http/TcpStream.h
+++ b/Source/Core/Http/TcpStream.h
@@ -15,7 +15,7 @@
 
 namespace Http
 {
-/// An IPv4 address with its port. Names are never looked up.
+/// An IPv4 address and port. Host names are never resolved.
 struct Endpoint
 {
   std::uint32_t address = 0; ///< Network byte order.
@@ -24,7 +24,7 @@
   auto operator<=>(const Endpoint&) const = default;
   sockaddr_in ToSockaddr() const;
   std::string ToString() const;
-  /// Reads "IP:PORT". Fails with InvalidInput.
+  /// Parses "IP:PORT". Fails with InvalidInput.
   static Common::Result<Endpoint> Parse(std::string_view text);
   static Endpoint FromSockaddr(const sockaddr_in& address);
 };
@@ -32,26 +32,27 @@
 /// How a connection ended.
 enum class StreamEnd
 {
-  Closed,  ///< The peer closed in order.
-  Reset,   ///< The peer or the network broke it.
-  TooLate, ///< What was to be written had not gone out by its time; it never will.
+  Closed,  ///< The peer closed the connection in an orderly way.
+  Reset,   ///< The connection was reset or failed.
+  TooLate, ///< The send deadline passed with output unsent, which was dropped.
 };
 
-/// What the kernel does with bytes that it has taken and the peer has not acknowledged.
+/// How the kernel treats bytes that it has accepted but the peer has not acknowledged.
 struct KernelLimits
 {
-  /// So long it sends them again; then the connection is broken. A peer behind a cut says nothing,
-  /// and without a limit a write to it would hang for minutes.
+  /// TCP_USER_TIMEOUT: how long the kernel retransmits them before it fails the connection. A peer
+  /// behind a network partition sends nothing, and without a limit a write to it would hang for
+  /// minutes.
   Common::Milliseconds unacknowledged{3000};
-  /// They are dropped when the connection ends, also by the end of the process. Else the kernel
-  /// goes on sending after a plain close.
+  /// Drops them when the socket is closed, also by the exit of the process (SO_LINGER with a time
+  /// of 0). Otherwise the kernel keeps sending them after a plain close.
   bool dropped_at_end = false;
 };
 
-/// No limit: bytes may go out whenever the connection takes them.
+/// No send deadline: bytes may be sent at any time.
 inline constexpr Common::TimePoint ANY_TIME = Common::TimePoint::max();
 
-/// Told what happens on a `TcpStream`. A call may destroy the stream's owner.
+/// Receives the events of a `TcpStream`. A call may destroy the stream's owner.
 class StreamEvents
 {
 public:
@@ -59,41 +60,42 @@
   virtual void OnConnected() {}
   virtual void OnBytes(std::string_view bytes) = 0;
   virtual void OnEnd(StreamEnd end) = 0;
-  /// All that was written has gone to the kernel.
+  /// Called when the event loop has handed all output to the kernel.
   virtual void OnDrained() {}
 };
 
-/// A nonblocking TCP connection on the reactor, with an output buffer.
+/// A non-blocking TCP connection on the reactor, with an output buffer.
 class TcpStream : public Common::DescriptorHandler, public std::enable_shared_from_this<TcpStream>
 {
 public:
-  /// Begins to connect; `OnConnected` or `OnEnd` follows.
+  /// Starts to connect; `OnConnected` or `OnEnd` follows. Returns nullptr where no socket can be
+  /// opened or connected.
   static std::shared_ptr<TcpStream> Connect(const Endpoint& peer, StreamEvents* events,
                                             const KernelLimits& limits = {});
-  /// Takes over an accepted descriptor.
+  /// Takes ownership of an accepted descriptor.
   static std::shared_ptr<TcpStream> Adopt(int fd, StreamEvents* events);
 
   ~TcpStream() override;
   TcpStream(const TcpStream&) = delete;
   TcpStream& operator=(const TcpStream&) = delete;
 
-  /// What has not gone to the kernel at `before` is dropped, and the connection ends with
-  /// `TooLate`: the process may have been frozen since, and what the bytes ask for no longer holds.
+  /// Output that the kernel has not accepted by `before` is dropped and the connection ends with
+  /// `TooLate`: the process may have been suspended, and the request may no longer be valid.
   void Write(std::string_view bytes, Common::TimePoint before = ANY_TIME);
-  /// Stops or resumes reading: the peer is then held up by its window.
+  /// Pauses or resumes reading; while paused, TCP flow control throttles the peer.
   void SetReading(bool reading);
-  /// Ends the connection; bytes that were written still go out where the kernel has taken them.
-  /// No event comes any more.
+  /// Closes the connection without further events. Bytes that the kernel has accepted are still
+  /// sent, unless `KernelLimits::dropped_at_end` is set.
   void Close();
-  /// Ends the connection by a reset, so that the peer cannot take what it got for whole.
+  /// Resets the connection, so that the peer cannot mistake what it received for complete.
   void Reset();
 
   bool IsOpen() const { return m_fd >= 0; }
   bool IsConnected() const { return m_connected; }
   std::size_t Unsent() const { return m_out.size() - m_out_begin; }
-  /// True where at least one byte has gone to the kernel.
+  /// True if the kernel has accepted at least one byte.
   bool HasSent() const { return m_sent > 0; }
-  /// Looks at an idle connection without reading: false where the peer closed it or sent something.
+  /// Peeks at an idle connection: false if the peer has closed it or sent bytes.
   bool IsQuiet() const;
 
   void OnDescriptorEvents(std::uint32_t events) override;
@@ -104,7 +106,8 @@
   void Arm();
   void FinishConnect();
   void ReadAll();
-  /// Gives what the kernel takes to it. False where it is too late for that.
+  /// Hands as much output to the kernel as it accepts. Returns false if the send deadline has
+  /// passed.
   bool Flush();
   void Fail(StreamEnd end);
 
@@ -120,7 +123,7 @@
   Common::TimePoint m_write_before = ANY_TIME;
 };
 
-/// Listens for connections.
+/// Accepts incoming TCP connections.
 class TcpListener : public Common::DescriptorHandler
 {
 public:
@@ -132,7 +135,7 @@
   TcpListener& operator=(const TcpListener&) = delete;
 
   Common::Result<Common::Done> Listen(const Endpoint& local, AcceptHandler handler);
-  /// The address in use; tells the port where port 0 was asked for.
+  /// Returns the bound address, with the actual port where port 0 was requested.
   Endpoint Local() const;
   void OnDescriptorEvents(std::uint32_t events) override;
 
--- a/Source/UnitTests/Fuzz.cpp
+++ b/Source/UnitTests/Fuzz.cpp
@@ -64,7 +64,7 @@
   return bytes;
 }
 
-/// Takes the first request of some bytes.
+/// Receives the first request in a byte sequence.
 class RequestSink : public Http::MessageSink
 {
 public:
@@ -85,8 +85,8 @@
   return sink.ended ? std::optional(sink.request) : std::nullopt;
 }
 
-/// Whatever a caller sends, what goes on to a server holds no key and no account but ours, as a
-/// reader sees it who takes no notice of case, blanks and the sign between words.
+/// Checks that a forwarded request never carries a key or an account other than the one the relay
+/// adds, even for a server that ignores case, whitespace and word separators in header names.
 void ForwardWithoutKey(const std::string& bytes)
 {
   const auto request = ParseRequest(bytes);
@@ -108,10 +108,10 @@
     for (const char c : field.name)
       if (std::isalnum(static_cast<unsigned char>(c)) != 0)
         name += static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
-    // A sign within the name makes it another header; around it, it makes none that parses.
+    // A separator within the name makes it another header; around it, the name does not parse.
     const bool plain = name.size() == field.name.size();
     if (plain && (name == "key" || (name == "tenant" && field.value != "ours")))
-      throw std::runtime_error("a server would see " + field.name);
+      throw std::runtime_error("header forwarded to the server: " + field.name);
   }
 }
 
@@ -202,7 +202,8 @@
   };
 }
 
-/// A crash ends the program; an exception is a decoder that lets hostile bytes through.
+/// Returns false if the decoder throws an exception, that is, does not handle malformed input. A
+/// crash ends the program.
 bool Survives(const Target& target, int rounds)
 {
   Common::Random random(SEED);
--- a/Source/UnitTests/Fuzz.h
+++ b/Source/UnitTests/Fuzz.h
@@ -5,7 +5,7 @@
 
 namespace UnitTests
 {
-/// Feeds the decoders of messages, table files, claims, records and reports with seeded random
-/// bytes and with damaged copies of real ones. Gives the number of decoders that failed.
+/// Runs the decoders of messages, table files, claims, records and reports on seeded random bytes
+/// and on mutated copies of valid input. Returns the number of decoders that failed.
 int RunFuzz(int rounds);
 } // namespace UnitTests
--- a/Source/UnitTests/Http/ChannelTest.cpp
+++ b/Source/UnitTests/Http/ChannelTest.cpp
@@ -30,7 +30,7 @@
   CPPUNIT_TEST(AbandonedCallsAreReset);
   CPPUNIT_TEST_SUITE_END();
 
-  /// A plain close would let the kernel deliver the call's bytes later, behind a cut that has
+  /// After a plain close, the kernel could deliver the request later, once a network partition has
   /// healed.
   void ACallThatTimesOutIsReset()
   {
@@ -71,9 +71,9 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), server.peers.size());
   }
 
-  /// Symptom: a VM with 0.12 cores gives a call up whose answer lies in its kernel.
-  /// Sequence: the daemon is busy with a new configuration for longer than the call's patience;
-  /// the answer comes meanwhile; in the next turn of the loop the timer is looked at first.
+  /// A call on a VM with 0.12 cores timed out although its response was in the socket buffer: the
+  /// daemon was busy with a new configuration for longer than the call's timeout, the response
+  /// arrived meanwhile, and the next loop iteration ran the timer before it read the socket.
   void AnAnswerThatHasArrivedIsReadBeforeTheCallIsGivenUp()
   {
     TestServer server([](TestPeer& peer, const std::string&) {
@@ -92,12 +92,12 @@
     CPPUNIT_ASSERT(*answered);
   }
 
-  /// Symptom: a backend server took an order of a holder of the lease 7 s after the holder could
-  /// act last, 10 ms after an order of the next one (fences 4608, then 1).
-  /// Sequence: an order waits for its new connection; the process is frozen; the kernel completes
-  /// the connection; thawed, the loop finds it writable and sends, before any timer is looked at.
-  /// Cause: the lease was looked at when the call was made, not when its bytes left. Of the orders
-  /// that a replay of the day logged before the freeze, eight had no answer yet.
+  /// A backend server accepted an order of a lease holder 7 s after the last time at which that
+  /// holder was allowed to act, and 10 ms after an order of the next holder (fences 4608, then 1).
+  /// The order was waiting for a new connection when the process was suspended. The kernel
+  /// completed the connection meanwhile, and on resumption the loop sent the order before it ran
+  /// any timer, because the lease was checked when the call was made and not when its bytes were
+  /// sent. In a replay of that day, eight orders logged before the suspension had no result yet.
   void NothingGoesOutAfterAFreezeThatOutlastsItsTime()
   {
     TestServer server([](TestPeer&, const std::string&) {});
@@ -144,7 +144,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), server.requests.size());
   }
 
-  /// A holder that loses the lease takes back what it has sent and nobody has answered.
+  /// A holder that loses the order lease abandons its orders that have no result yet.
   void AbandonedCallsAreReset()
   {
     TestServer server([](TestPeer&, const std::string&) {});
--- a/Source/UnitTests/Http/ClientTest.cpp
+++ b/Source/UnitTests/Http/ClientTest.cpp
@@ -35,9 +35,9 @@
     return request;
   }
 
-  /// Symptom: a daemon never reads the platform's table where its list takes longer than a call.
-  /// Sequence: 800 KB at 10 Mbit/s take 0.64 s, the call has 0.3 s; the next begins from nothing.
-  /// Cause: the time of a call was counted to the end of its answer.
+  /// A daemon could never read the platform's table if the transfer of the list took longer than
+  /// the timeout of a call, which covered the complete response: 800 KB at 10 Mbit/s take 0.64 s,
+  /// the timeout was 0.3 s, and each retry started from the beginning.
   void ALongAnswerComesOverAWeakLink()
   {
     ThrottledServer server(std::string(800'000, 'x'));
--- a/Source/UnitTests/Http/MessageParserTest.cpp
+++ b/Source/UnitTests/Http/MessageParserTest.cpp
@@ -43,10 +43,9 @@
     return parser.Feed(bytes, consumed);
   }
 
-  /// Symptom: a server was shown a caller's key.
-  /// Sequence: the caller writes "Key : secret"; the relay looks for "Key", finds none and passes
-  /// the header on; the server drops the blank and reads it.
-  /// Cause: http-parser takes blanks in names, which RFC 9112 (5.1) forbids.
+  /// A caller's key leaked to a server: the caller sent "Key : secret", the relay found no header
+  /// "Key" to remove and forwarded it, and the server stripped the space and read the key.
+  /// http-parser accepts whitespace in names, which RFC 9112 (5.1) forbids.
   void RefusesBlanksInTheNamesOfARequestsHeaders()
   {
     for (const char* header : {"Key : s", " Key: s", "Ke y: s", "A: b\r\nKey\t: s"})
--- a/Source/UnitTests/Http/OriginConnectionTest.cpp
+++ b/Source/UnitTests/Http/OriginConnectionTest.cpp
@@ -16,7 +16,7 @@
 {
 using Common::Milliseconds;
 
-/// Keeps how an exchange ended.
+/// Records how an exchange ended.
 class Listener : public Http::AnswerEvents
 {
 public:
@@ -29,7 +29,7 @@
   std::optional<Http::Breakage> breakage;
 };
 
-/// A port whose queue of connections is full, so that the kernel drops what more is asked.
+/// A listening port with a full accept queue, so that the kernel drops further connection requests.
 class FullPort
 {
 public:
--- a/Source/UnitTests/Http/ServerConnectionTest.cpp
+++ b/Source/UnitTests/Http/ServerConnectionTest.cpp
@@ -61,8 +61,8 @@
     close(m_peer);
   }
 
-  /// The process was busy: the idle time is over, and so is the timer that stands for the bytes
-  /// that arrive after the sockets were last looked at.
+  /// In a busy process, the idle timeout and the timer that sends the request are both due in the
+  /// same loop iteration, so the request arrives after the sockets were last polled.
   void ARequestThatComesAsTheIdleTimeEndsIsAnswered()
   {
     Common::Reactor::Get().After(Milliseconds(10), [this] {
