--- a/Source/Core/Gateway/Relay.cpp
+++ b/Source/Core/Gateway/Relay.cpp
@@ -132,7 +132,7 @@
 void Relay::Start()
 {
   const auto guard = shared_from_this();
-  m_caller->OnPeerGone([this] {
+  m_caller->OnPeerDisconnected([this] {
     EndWith(Outcome::CallerGone, 0, "the caller closed its connection");
   });
   const auto& configuration = m_dispatcher.CurrentConfiguration();
@@ -479,7 +479,7 @@
   DropConnection();
   ReleaseServer();
   if (outcome == Outcome::BrokenOff)
-    m_caller->BreakAnswer();
+    m_caller->AbortResponse();
   else if (status != 0)
   {
     std::vector<Http::HeaderField> headers;
--- a/Source/Core/Gateway/Relay.h
+++ b/Source/Core/Gateway/Relay.h
@@ -51,7 +51,7 @@
 
 /// Proxies one request to a backend server and its response back to the caller. Holds all state of
 /// the request; shared state (servers, budget, configuration) belongs to the dispatcher.
-class Relay : public Http::AnswerEvents, public std::enable_shared_from_this<Relay>
+class Relay : public Http::ResponseHandler, public std::enable_shared_from_this<Relay>
 {
 public:
   Relay(Dispatcher& dispatcher, std::shared_ptr<Http::ServerConnection> caller,
@@ -103,11 +103,11 @@
   /// Ends the request with an error because the process shuts down.
   void CancelForShutdown();
 
-  Verdict OnAnswerHead(Http::MessageHead& head) override;
+  HeadAction OnResponseHead(Http::MessageHead& head) override;
   void OnInterimHead(Http::MessageHead& head) override;
-  void OnAnswerBody(std::string_view bytes) override;
-  void OnAnswerEnd() override;
-  void OnAnswerBroken(Http::Breakage breakage) override;
+  void OnResponseBody(std::string_view bytes) override;
+  void OnResponseEnd() override;
+  void OnExchangeFailed(Http::ExchangeError breakage) override;
 
 private:
   /// Shorter pauses of a stream are never treated as silence, whatever the targets of its route.
--- a/Source/Core/Gateway/RelayAnswers.cpp
+++ b/Source/Core/Gateway/RelayAnswers.cpp
@@ -22,7 +22,7 @@
 constexpr int SILENCE_GAP_TARGETS = 4;
 } // namespace
 
-Http::AnswerEvents::Verdict Relay::OnAnswerHead(Http::MessageHead& head)
+Http::ResponseHandler::HeadAction Relay::OnResponseHead(Http::MessageHead& head)
 {
   m_server->NoteReceived(Common::Now());
   const std::string* id = head.Find(m_dispatcher.Settings().names.request_id);
@@ -32,7 +32,7 @@
                      {{"id", m_id},
                       {"answer_id", id == nullptr ? "" : *id},
                       {"instance", m_server->Entry().instance}});
-    return Verdict::Skip;
+    return HeadAction::Skip;
   }
   m_head = head;
   m_answer_began_at = Common::Now();
@@ -44,7 +44,7 @@
   const std::string* type = m_head.Find("Content-Type");
   m_is_stream = m_route.repeatability == Repeatability::Streaming && m_head.status == 200 &&
                 is_sound && (type == nullptr || type->find("event-stream") != std::string::npos);
-  return Verdict::Take;
+  return HeadAction::Accept;
 }
 
 bool Relay::IsValidAnswer(const Http::MessageHead& head) const
@@ -66,7 +66,7 @@
   m_dispatcher.ApplyInterimSignals(m_server, signals, {m_id, m_sent_at});
 }
 
-void Relay::OnAnswerBody(std::string_view bytes)
+void Relay::OnResponseBody(std::string_view bytes)
 {
   m_server->NoteReceived(Common::Now());
   if (!m_is_stream)
@@ -104,7 +104,7 @@
   });
 }
 
-void Relay::OnAnswerEnd()
+void Relay::OnResponseEnd()
 {
   const auto guard = shared_from_this();
   m_silence_timer.Stop();
@@ -183,13 +183,13 @@
                 m_may_have_run);
 }
 
-void Relay::OnAnswerBroken(Http::Breakage breakage)
+void Relay::OnExchangeFailed(Http::ExchangeError breakage)
 {
   const auto guard = shared_from_this();
   m_connection = nullptr;
   const auto now = Common::Now();
-  const bool timed_out = breakage == Http::Breakage::ConnectTimedOut;
-  if (timed_out || breakage == Http::Breakage::ConnectFailed)
+  const bool timed_out = breakage == Http::ExchangeError::ConnectTimedOut;
+  if (timed_out || breakage == Http::ExchangeError::ConnectFailed)
   {
     // A single lost packet can also delay a connection, so only several timeouts in a row eject the
     // server.
@@ -206,7 +206,7 @@
     return;
   }
   m_server->Health().NoteFailure(now);
-  if (breakage == Http::Breakage::Malformed)
+  if (breakage == Http::ExchangeError::Malformed)
   {
     AttemptFailed("malformed response", true);
     return;
--- a/Source/Core/Http/Channel.cpp
+++ b/Source/Core/Http/Channel.cpp
@@ -15,25 +15,25 @@
 /// Maximum number of idle connections to one peer.
 constexpr std::size_t MAX_IDLE = 4;
 
-Common::FailureKind KindOf(Breakage breakage)
+Common::FailureKind ToFailureKind(ExchangeError error)
 {
-  switch (breakage)
+  switch (error)
   {
-  case Breakage::ConnectFailed:
-  case Breakage::ConnectTimedOut:
-  case Breakage::TooLate:
+  case ExchangeError::ConnectFailed:
+  case ExchangeError::ConnectTimedOut:
+  case ExchangeError::SendDeadlinePassed:
     return Common::FailureKind::NotSent;
-  case Breakage::Malformed:
+  case ExchangeError::Malformed:
     return Common::FailureKind::Protocol;
-  case Breakage::Closed:
-  case Breakage::Reset:
+  case ExchangeError::Closed:
+  case ExchangeError::Reset:
     break;
   }
   return Common::FailureKind::OutcomeUnknown;
 }
 } // namespace
 
-const std::string* WholeAnswer::Find(std::string_view name) const
+const std::string* CompleteResponse::Find(std::string_view name) const
 {
   const auto found = std::ranges::find_if(headers, [&](const HeaderField& field) {
     return EqualIgnoringCase(field.name, name);
@@ -41,13 +41,13 @@
   return found == headers.end() ? nullptr : &found->value;
 }
 
-std::string Serialise(const WholeRequest& request, const Endpoint& peer)
+std::string SerializeRequest(const CompleteRequest& request, const Endpoint& peer)
 {
   std::string bytes = request.method + " " + request.target + " HTTP/1.1\r\n";
-  const bool names_host = std::ranges::any_of(request.headers, [](const HeaderField& field) {
+  const bool has_host = std::ranges::any_of(request.headers, [](const HeaderField& field) {
     return EqualIgnoringCase(field.name, "Host");
   });
-  if (!names_host)
+  if (!has_host)
     bytes += "Host: " + peer.ToString() + "\r\n";
   for (const HeaderField& field : request.headers)
     bytes += field.name + ": " + field.value + "\r\n";
@@ -56,13 +56,13 @@
   return bytes + "\r\n" + request.body;
 }
 
-class Channel::PendingCall : public AnswerEvents
+class Channel::PendingCall : public ResponseHandler
 {
 public:
-  PendingCall(Channel& channel, const Patience& patience, Callback on_result)
-      : callback(std::move(on_result)), m_channel(channel), m_patience(patience)
+  PendingCall(Channel& channel, const CallTimeouts& timeouts, Callback on_result)
+      : callback(std::move(on_result)), m_channel(channel), m_timeouts(timeouts)
   {
-    Watch(m_patience.before_head);
+    StartTimer(m_timeouts.head_timeout);
   }
   ~PendingCall() override
   {
@@ -70,28 +70,28 @@
       connection->Abandon();
   }
 
-  Verdict OnAnswerHead(MessageHead& head) override
+  HeadAction OnResponseHead(MessageHead& head) override
   {
-    m_heard_at = Common::Now();
-    Watch(m_patience.within_body);
-    m_answer.status = head.status;
-    m_answer.headers = head.headers;
-    return Verdict::Take;
+    m_last_bytes_at = Common::Now();
+    StartTimer(m_timeouts.stall_timeout);
+    m_response.status = head.status;
+    m_response.headers = head.headers;
+    return HeadAction::Accept;
   }
-  void OnAnswerBody(std::string_view bytes) override
+  void OnResponseBody(std::string_view bytes) override
   {
-    m_heard_at = Common::Now();
-    m_answer.body.append(bytes);
+    m_last_bytes_at = Common::Now();
+    m_response.body.append(bytes);
   }
-  void OnAnswerEnd() override
+  void OnResponseEnd() override
   {
     m_channel.m_idle.Keep(std::exchange(connection, nullptr), Common::Now());
-    m_channel.Finish(this, std::move(m_answer));
+    m_channel.Finish(this, std::move(m_response));
   }
-  void OnAnswerBroken(Breakage breakage) override
+  void OnExchangeFailed(ExchangeError error) override
   {
     connection = nullptr;
-    m_channel.Finish(this, Common::Failure{KindOf(breakage),
+    m_channel.Finish(this, Common::Failure{ToFailureKind(error),
                                            "the exchange failed before the response was complete"});
   }
 
@@ -99,9 +99,9 @@
   std::shared_ptr<OriginConnection> connection;
 
 private:
-  void Watch(Common::Milliseconds time)
+  void StartTimer(Common::Milliseconds delay)
   {
-    m_timer.Start(time, [this] {
+    m_timer.Start(delay, [this] {
       OnTimer();
     });
   }
@@ -110,58 +110,59 @@
   /// more.
   void OnTimer()
   {
-    const auto silence = Silence();
-    if (silence && *silence < m_patience.within_body)
-      Watch(m_patience.within_body - *silence);
+    const auto elapsed = TimeSinceLastBytes();
+    if (elapsed && *elapsed < m_timeouts.stall_timeout)
+      StartTimer(m_timeouts.stall_timeout - *elapsed);
     else
-      GiveUp();
+      FailWithTimeout();
   }
 
-  void GiveUp()
+  void FailWithTimeout()
   {
     const bool sent = connection->HasSent();
     const auto kind = sent ? Common::FailureKind::Timeout : Common::FailureKind::NotSent;
-    m_channel.Finish(this, Common::Failure{kind, "no complete response in time" + Progress()});
+    m_channel.Finish(this,
+                     Common::Failure{kind, "no complete response in time" + DescribeProgress()});
   }
 
   /// Time since the last byte of the response, or nullopt where none has been received.
-  std::optional<Common::Milliseconds> Silence() const
+  std::optional<Common::Milliseconds> TimeSinceLastBytes() const
   {
-    if (!m_heard_at)
+    if (!m_last_bytes_at)
       return std::nullopt;
-    return std::chrono::floor<Common::Milliseconds>(Common::Now() - *m_heard_at);
+    return std::chrono::floor<Common::Milliseconds>(Common::Now() - *m_last_bytes_at);
   }
 
   /// Describes the response so far, to distinguish an unresponsive peer from a long response.
-  std::string Progress() const
+  std::string DescribeProgress() const
   {
-    const auto silence = Silence();
-    if (!silence)
+    const auto elapsed = TimeSinceLastBytes();
+    if (!elapsed)
       return ", no bytes received";
-    return ", " + std::to_string(m_answer.body.size()) + " body bytes received, the last " +
-           std::to_string(silence->count()) + " ms ago";
+    return ", " + std::to_string(m_response.body.size()) + " body bytes received, the last " +
+           std::to_string(elapsed->count()) + " ms ago";
   }
 
   Channel& m_channel;
-  Patience m_patience;
+  CallTimeouts m_timeouts;
   Common::OwnedTimer m_timer;
-  WholeAnswer m_answer;
-  std::optional<Common::TimePoint> m_heard_at; ///< Last receipt of response bytes.
+  CompleteResponse m_response;
+  std::optional<Common::TimePoint> m_last_bytes_at; ///< Last receipt of response bytes.
 };
 
-Channel::Channel(const Endpoint& peer, const KernelLimits& limits)
-    : m_peer(peer), m_limits(limits), m_idle(MAX_IDLE)
+Channel::Channel(const Endpoint& peer, const SocketOptions& options)
+    : m_peer(peer), m_socket_options(options), m_idle(MAX_IDLE)
 {
 }
 
 Channel::~Channel() = default;
 
-void Channel::Call(const WholeRequest& request, const Patience& patience, Callback callback,
-                   Common::TimePoint before)
+void Channel::Call(const CompleteRequest& request, const CallTimeouts& timeouts, Callback callback,
+                   Common::TimePoint send_deadline)
 {
   auto connection = m_idle.Take(Common::Now());
   if (!connection)
-    connection = OriginConnection::Connect(m_peer, m_limits);
+    connection = OriginConnection::Connect(m_peer, m_socket_options);
   if (!connection)
   {
     Common::Reactor::Get().After(Common::Milliseconds(1), [callback = std::move(callback)] {
@@ -169,10 +170,10 @@
     });
     return;
   }
-  m_pending.push_back(std::make_unique<PendingCall>(*this, patience, std::move(callback)));
+  m_pending.push_back(std::make_unique<PendingCall>(*this, timeouts, std::move(callback)));
   PendingCall* call = m_pending.back().get();
   call->connection = connection;
-  connection->Send(Serialise(request, m_peer), call, false, before);
+  connection->Send(SerializeRequest(request, m_peer), call, false, send_deadline);
 }
 
 void Channel::Abandon()
@@ -180,7 +181,7 @@
   m_pending.clear();
 }
 
-void Channel::Finish(PendingCall* call, Common::Result<WholeAnswer> result)
+void Channel::Finish(PendingCall* call, Common::Result<CompleteResponse> result)
 {
   const auto found = std::ranges::find_if(m_pending, [&](const auto& pending) {
     return pending.get() == call;
--- a/Source/Core/Http/Channel.h
+++ b/Source/Core/Http/Channel.h
@@ -15,7 +15,7 @@
 namespace Http
 {
 /// A complete HTTP response, held in memory.
-struct WholeAnswer
+struct CompleteResponse
 {
   int status = 0;
   std::vector<HeaderField> headers;
@@ -25,7 +25,7 @@
 };
 
 /// A complete HTTP request, held in memory.
-struct WholeRequest
+struct CompleteRequest
 {
   std::string method;
   std::string target;
@@ -35,15 +35,15 @@
 
 /// Serializes a request. Adds a Host header where the request has none, and a Content-Length where
 /// it has a body.
-std::string Serialise(const WholeRequest& request, const Endpoint& peer);
+std::string SerializeRequest(const CompleteRequest& request, const Endpoint& peer);
 
 /// How long a call waits for the next bytes of the response. The complete response has no time
 /// limit, because its size is unbounded: with a fixed limit, a row of 1,073 KB could never be read
 /// over a link of 10 Mbit/s.
-struct Patience
+struct CallTimeouts
 {
-  Common::Milliseconds before_head; ///< From the call to the response head.
-  Common::Milliseconds within_body; ///< From one byte of the response to the next.
+  Common::Milliseconds head_timeout;  ///< From the call to the response head.
+  Common::Milliseconds stall_timeout; ///< From one byte of the response to the next.
 };
 
 /// Makes HTTP calls to one peer over persistent connections and returns complete responses. A call
@@ -52,27 +52,27 @@
 class Channel
 {
 public:
-  using Callback = std::function<void(Common::Result<WholeAnswer>)>;
+  using Callback = std::function<void(Common::Result<CompleteResponse>)>;
 
-  explicit Channel(const Endpoint& peer, const KernelLimits& limits = {});
+  explicit Channel(const Endpoint& peer, const SocketOptions& options = {});
   ~Channel();
   Channel(const Channel&) = delete;
   Channel& operator=(const Channel&) = delete;
 
   const Endpoint& Peer() const { return m_peer; }
-  /// Sends no byte of the request at `before` or later; the call then fails with NotSent.
-  void Call(const WholeRequest& request, const Patience& patience, Callback callback,
-            Common::TimePoint before = ANY_TIME);
+  /// Sends no byte of the request at `send_deadline` or later; the call then fails with NotSent.
+  void Call(const CompleteRequest& request, const CallTimeouts& timeouts, Callback callback,
+            Common::TimePoint send_deadline = NO_SEND_DEADLINE);
   /// Resets the connections of all pending calls, without invoking their callbacks.
   void Abandon();
 
 private:
   class PendingCall;
 
-  void Finish(PendingCall* call, Common::Result<WholeAnswer> result);
+  void Finish(PendingCall* call, Common::Result<CompleteResponse> result);
 
   Endpoint m_peer;
-  KernelLimits m_limits;
+  SocketOptions m_socket_options;
   IdleConnections m_idle;
   std::list<std::unique_ptr<PendingCall>> m_pending;
 };
--- a/Source/Core/Http/Client.cpp
+++ b/Source/Core/Http/Client.cpp
@@ -46,19 +46,19 @@
 /// Cancels an operation after a delay and records that the timer did so. All timers share one
 /// periodic tick: with a main-loop source for each read, the loop would check all of them in every
 /// iteration, which with a thousand open streams costs more than the reads.
-class Timer
+class CancellationTimer
 {
 public:
-  Timer(GCancellable* cancellable, Common::Milliseconds delay)
+  CancellationTimer(GCancellable* cancellable, Common::Milliseconds delay)
       : m_cancellable(cancellable), m_deadline(Common::Now() + delay)
   {
-    m_place = s_timers.insert(s_timers.end(), this);
+    m_position = s_timers.insert(s_timers.end(), this);
     if (!std::exchange(s_ticking, true))
       Common::CallAfter(TICK, Tick);
   }
-  ~Timer() { s_timers.erase(m_place); }
-  Timer(const Timer&) = delete;
-  Timer& operator=(const Timer&) = delete;
+  ~CancellationTimer() { s_timers.erase(m_position); }
+  CancellationTimer(const CancellationTimer&) = delete;
+  CancellationTimer& operator=(const CancellationTimer&) = delete;
 
   bool Expired() const { return m_expired; }
 
@@ -72,7 +72,7 @@
       Common::CallAfter(TICK, Tick);
     const auto now = Common::Now();
     std::vector<GRef<GCancellable>> due;
-    for (Timer* timer : s_timers)
+    for (CancellationTimer* timer : s_timers)
     {
       if (timer->m_expired || now < timer->m_deadline)
         continue;
@@ -85,12 +85,12 @@
       g_cancellable_cancel(cancellable.Get());
   }
 
-  static inline std::list<Timer*> s_timers;
+  static inline std::list<CancellationTimer*> s_timers;
   static inline bool s_ticking = false;
 
   GCancellable* m_cancellable;
   Common::TimePoint m_deadline;
-  std::list<Timer*>::iterator m_place;
+  std::list<CancellationTimer*>::iterator m_position;
   bool m_expired = false;
 };
 
@@ -173,10 +173,10 @@
   int Status() const override { return static_cast<int>(soup_message_get_status(m_message.Get())); }
   const Headers& GetHeaders() const override { return m_headers; }
 
-  Task<Result<std::string>> Read(Common::Milliseconds patience) override
+  Task<Result<std::string>> Read(Common::Milliseconds stall_timeout) override
   {
     // The owner must not destroy the stream while a read is pending.
-    const Timer timer(m_cancellable.Get(), patience);
+    const CancellationTimer timer(m_cancellable.Get(), stall_timeout);
     if (m_buffer.empty())
       m_buffer.resize(READ_BYTES);
     GioAwait await;
@@ -228,7 +228,7 @@
   if (!message)
     co_return Failure{FailureKind::InvalidInput, "invalid URL: " + request.url};
   const GRef<GCancellable> cancellable(g_cancellable_new());
-  const Timer timer(cancellable.Get(), request.timeout);
+  const CancellationTimer timer(cancellable.Get(), request.timeout);
   GioAwait await;
   soup_session_send_async(impl->session.Get(), message.Get(), G_PRIORITY_DEFAULT, cancellable.Get(),
                           GioAwait::Ready, &await);
@@ -249,7 +249,7 @@
 
 Task<Result<Response>> Client::Send(Request request)
 {
-  const auto patience = request.timeout;
+  const auto stall_timeout = request.timeout;
   auto opened = co_await Open(std::move(request));
   if (!opened)
     co_return opened.Reason();
@@ -257,7 +257,7 @@
   Response response{stream.Status(), stream.GetHeaders(), {}};
   while (true)
   {
-    auto chunk = co_await stream.Read(patience);
+    auto chunk = co_await stream.Read(stall_timeout);
     if (!chunk)
       co_return chunk.Reason();
     if (chunk->empty())
--- a/Source/Core/Http/Client.h
+++ b/Source/Core/Http/Client.h
@@ -52,8 +52,8 @@
   virtual const Headers& GetHeaders() const = 0;
   /// Returns the next bytes, or an empty string at the end of a complete body. Fails with
   /// OutcomeUnknown where the body is truncated, with Timeout where no bytes arrive within
-  /// `patience`.
-  virtual Common::Task<Common::Result<std::string>> Read(Common::Milliseconds patience) = 0;
+  /// `stall_timeout`.
+  virtual Common::Task<Common::Result<std::string>> Read(Common::Milliseconds stall_timeout) = 0;
   /// Cancels a pending read and the rest of the response.
   virtual void Cancel() = 0;
 };
--- a/Source/Core/Http/IdleConnections.cpp
+++ b/Source/Core/Http/IdleConnections.cpp
@@ -31,7 +31,7 @@
   if (!connection->IsReusable(now))
     return;
   m_connections.push_back(std::move(connection));
-  if (m_connections.size() <= m_most)
+  if (m_connections.size() <= m_max_connections)
     return;
   m_connections.front()->Abandon();
   m_connections.erase(m_connections.begin());
--- a/Source/Core/Http/IdleConnections.h
+++ b/Source/Core/Http/IdleConnections.h
@@ -15,7 +15,7 @@
 class IdleConnections
 {
 public:
-  explicit IdleConnections(std::size_t most) : m_most(most) {}
+  explicit IdleConnections(std::size_t max_connections) : m_max_connections(max_connections) {}
   ~IdleConnections();
   IdleConnections(const IdleConnections&) = delete;
   IdleConnections& operator=(const IdleConnections&) = delete;
@@ -26,7 +26,7 @@
   void Keep(std::shared_ptr<OriginConnection> connection, Common::TimePoint now);
 
 private:
-  std::size_t m_most;
+  std::size_t m_max_connections;
   std::vector<std::shared_ptr<OriginConnection>> m_connections;
 };
 } // namespace Http
--- a/Source/Core/Http/MessageParser.cpp
+++ b/Source/Core/Http/MessageParser.cpp
@@ -26,7 +26,7 @@
 /// http-parser accepts whitespace in header names. If such a header were forwarded, the next server
 /// might read another name: "Key : x" is not the header "Key" here, but is where whitespace is
 /// stripped.
-bool HasBlankInAName(const MessageHead& head)
+bool HasWhitespaceInHeaderName(const MessageHead& head)
 {
   return std::ranges::any_of(head.headers, [](const HeaderField& field) {
     return field.name.find_first_of(" \t") != std::string::npos;
@@ -64,7 +64,7 @@
   http_parser_init(&m_parser, m_kind == Kind::Request ? HTTP_REQUEST : HTTP_RESPONSE);
   m_parser.data = this;
   m_head = {};
-  m_value_open = false;
+  m_in_header_value = false;
   m_in_message = false;
   m_head_done = false;
   m_ended = false;
@@ -147,10 +147,10 @@
   MessageParser& self = Self(parser);
   if (self.m_head_done)
     return CONTINUE_PARSING; // A trailer field; trailers are discarded.
-  if (self.m_value_open || self.m_head.headers.empty())
+  if (self.m_in_header_value || self.m_head.headers.empty())
   {
     self.m_head.headers.emplace_back();
-    self.m_value_open = false;
+    self.m_in_header_value = false;
     self.m_header_bytes += HEADER_LINE_OVERHEAD;
   }
   self.m_head.headers.back().name.append(at, size);
@@ -162,7 +162,7 @@
   MessageParser& self = Self(parser);
   if (self.m_head_done)
     return CONTINUE_PARSING;
-  self.m_value_open = true;
+  self.m_in_header_value = true;
   self.m_head.headers.back().value.append(at, size);
   return self.CountHeaderBytes(size) ? CONTINUE_PARSING : STOP_PARSING;
 }
@@ -172,7 +172,7 @@
   MessageParser& self = Self(parser);
   MessageHead& head = self.m_head;
   self.m_head_done = true;
-  if (self.m_kind == Kind::Request && HasBlankInAName(head))
+  if (self.m_kind == Kind::Request && HasWhitespaceInHeaderName(head))
     return STOP_PARSING;
   if (self.m_kind == Kind::Request)
     head.method = http_method_str(static_cast<http_method>(parser->method));
@@ -210,7 +210,7 @@
   if (interim)
   {
     self.m_head = {};
-    self.m_value_open = false;
+    self.m_in_header_value = false;
     self.m_head_done = false;
     return CONTINUE_PARSING;
   }
--- a/Source/Core/Http/MessageParser.h
+++ b/Source/Core/Http/MessageParser.h
@@ -105,7 +105,7 @@
   Kind m_kind;
   MessageSink* m_sink;
   MessageHead m_head;
-  bool m_value_open = false;
+  bool m_in_header_value = false;
   bool m_in_message = false;
   bool m_head_done = false;
   bool m_ended = false;
--- a/Source/Core/Http/OriginConnection.cpp
+++ b/Source/Core/Http/OriginConnection.cpp
@@ -16,7 +16,7 @@
 constexpr Common::Milliseconds DEFAULT_IDLE_LIMIT{2000};
 /// Fraction of an announced idle timeout that is used, since the timeout is announced in whole
 /// seconds and measured by the peer's clock.
-constexpr double IDLE_LIMIT_SHARE = 0.6;
+constexpr double IDLE_LIMIT_FACTOR = 0.6;
 /// Connecting takes one round trip, a few ms between data centres. If it takes this long, the peer
 /// is cut off or a packet was lost, which the kernel would retransmit only after a second.
 constexpr Common::Milliseconds CONNECT_TIMEOUT{400};
@@ -38,28 +38,28 @@
 OriginConnection::OriginConnection() : m_parser(MessageParser::Kind::Response, this) {}
 
 std::shared_ptr<OriginConnection> OriginConnection::Connect(const Endpoint& peer,
-                                                            const KernelLimits& limits)
+                                                            const SocketOptions& options)
 {
   std::shared_ptr<OriginConnection> connection(new OriginConnection());
-  connection->m_stream = TcpStream::Connect(peer, connection.get(), limits);
+  connection->m_stream = TcpStream::Connect(peer, connection.get(), options);
   return connection->m_stream ? connection : nullptr;
 }
 
-void OriginConnection::Send(const std::string& request, AnswerEvents* events, bool no_body_expected,
-                            Common::TimePoint before)
+void OriginConnection::Send(const std::string& request, ResponseHandler* handler,
+                            bool no_body_expected, Common::TimePoint send_deadline)
 {
-  m_events = events;
+  m_handler = handler;
   m_skipping = false;
   m_parser.ExpectNoBody(no_body_expected);
   m_parser.Restart();
-  m_stream->Write(request, before);
+  m_stream->Write(request, send_deadline);
   if (m_stream->IsConnected())
     return;
-  m_connect_by = Common::Now() + CONNECT_TIMEOUT;
+  m_connect_deadline = Common::Now() + CONNECT_TIMEOUT;
   m_connect_timer.Start(CONNECT_TIMEOUT, [this] {
     const auto guard = shared_from_this();
-    if (m_events != nullptr && !m_stream->IsConnected())
-      Break(Breakage::ConnectTimedOut);
+    if (m_handler != nullptr && !m_stream->IsConnected())
+      Break(ExchangeError::ConnectTimedOut);
   });
 }
 
@@ -67,13 +67,13 @@
 {
   // Connected past the deadline, so the VM was suspended in between. The request must not be sent,
   // since it states the time that its caller had left before the suspension.
-  if (m_events != nullptr && Common::Now() >= m_connect_by)
-    Break(Breakage::ConnectTimedOut);
+  if (m_handler != nullptr && Common::Now() >= m_connect_deadline)
+    Break(ExchangeError::ConnectTimedOut);
 }
 
 void OriginConnection::Abandon()
 {
-  const bool in_exchange = std::exchange(m_events, nullptr) != nullptr;
+  const bool in_exchange = std::exchange(m_handler, nullptr) != nullptr;
   m_keep_alive = false;
   // An abandoned request must not arrive later. After a plain close during a network partition, the
   // kernel would keep retransmitting and deliver the request once the partition heals.
@@ -85,13 +85,13 @@
 
 bool OriginConnection::IsReusable(Common::TimePoint now) const
 {
-  if (!m_stream->IsOpen() || m_events != nullptr || !m_keep_alive || !m_answered)
+  if (!m_stream->IsOpen() || m_handler != nullptr || !m_keep_alive || !m_response_received)
     return false;
   const auto limit =
       m_idle_limit
-          ? std::chrono::duration_cast<Common::Milliseconds>(*m_idle_limit * IDLE_LIMIT_SHARE)
+          ? std::chrono::duration_cast<Common::Milliseconds>(*m_idle_limit * IDLE_LIMIT_FACTOR)
           : DEFAULT_IDLE_LIMIT;
-  return now - m_idle_since < limit && m_stream->IsQuiet();
+  return now - m_idle_since < limit && m_stream->IsStillIdle();
 }
 
 void OriginConnection::OnBytes(std::string_view bytes)
@@ -99,7 +99,7 @@
   const auto guard = shared_from_this();
   while (!bytes.empty() && m_stream->IsOpen())
   {
-    if (m_events == nullptr)
+    if (m_handler == nullptr)
     {
       // Bytes that arrive while no request is open do not belong to any response.
       Abandon();
@@ -112,18 +112,18 @@
       return;
     if (status != MessageParser::Status::MessageEnded)
     {
-      Break(Breakage::Malformed);
+      Break(ExchangeError::Malformed);
       return;
     }
-    EndAnswer(!bytes.empty());
+    EndResponse(!bytes.empty());
   }
 }
 
-void OriginConnection::EndAnswer(bool surplus_follows)
+void OriginConnection::EndResponse(bool extra_bytes_follow)
 {
-  if (m_events == nullptr)
+  if (m_handler == nullptr)
     return;
-  m_answered = true;
+  m_response_received = true;
   m_parser.Restart();
   if (m_skipping)
   {
@@ -132,51 +132,51 @@
   }
   // An early response leaves part of the request unsent, which the server would read as the start
   // of the next request.
-  const bool whole_request_sent = m_stream->Unsent() == 0;
-  AnswerEvents* events = std::exchange(m_events, nullptr);
-  if (surplus_follows || !whole_request_sent || !m_keep_alive)
+  const bool request_completely_sent = m_stream->Unsent() == 0;
+  ResponseHandler* handler = std::exchange(m_handler, nullptr);
+  if (extra_bytes_follow || !request_completely_sent || !m_keep_alive)
     Abandon();
   m_idle_since = Common::Now();
-  events->OnAnswerEnd();
+  handler->OnResponseEnd();
 }
 
 void OriginConnection::OnEnd(StreamEnd end)
 {
   const auto guard = shared_from_this();
-  if (m_events == nullptr)
+  if (m_handler == nullptr)
     return;
-  if (end == StreamEnd::TooLate)
+  if (end == StreamEnd::SendDeadlinePassed)
   {
-    Break(Breakage::TooLate);
+    Break(ExchangeError::SendDeadlinePassed);
     return;
   }
   if (!m_stream->IsConnected())
   {
-    Break(Breakage::ConnectFailed);
+    Break(ExchangeError::ConnectFailed);
     return;
   }
   const bool completes =
       end == StreamEnd::Closed && m_parser.FeedEnd() == MessageParser::Status::MessageEnded;
-  if (m_events == nullptr)
+  if (m_handler == nullptr)
     return;
   if (completes && !m_skipping)
   {
     m_keep_alive = false;
-    EndAnswer(false);
+    EndResponse(false);
     return;
   }
-  Break(end == StreamEnd::Closed ? Breakage::Closed : Breakage::Reset);
+  Break(end == StreamEnd::Closed ? ExchangeError::Closed : ExchangeError::Reset);
 }
 
-void OriginConnection::Break(Breakage breakage)
+void OriginConnection::Break(ExchangeError error)
 {
-  AnswerEvents* events = std::exchange(m_events, nullptr);
+  ResponseHandler* handler = std::exchange(m_handler, nullptr);
   Abandon();
-  if (events != nullptr)
-    events->OnAnswerBroken(breakage);
+  if (handler != nullptr)
+    handler->OnExchangeFailed(error);
 }
 
-void OriginConnection::NoteKeepAlive(const MessageHead& head)
+void OriginConnection::UpdateKeepAlive(const MessageHead& head)
 {
   m_keep_alive = head.keep_alive;
   const std::string* keep_alive = head.Find("Keep-Alive");
@@ -186,21 +186,21 @@
 
 void OriginConnection::OnHead(MessageHead& head)
 {
-  NoteKeepAlive(head);
-  if (m_events != nullptr)
-    m_skipping = m_events->OnAnswerHead(head) == AnswerEvents::Verdict::Skip;
+  UpdateKeepAlive(head);
+  if (m_handler != nullptr)
+    m_skipping = m_handler->OnResponseHead(head) == ResponseHandler::HeadAction::Skip;
 }
 
 void OriginConnection::OnInterimHead(MessageHead& head)
 {
-  if (m_events != nullptr)
-    m_events->OnInterimHead(head);
+  if (m_handler != nullptr)
+    m_handler->OnInterimHead(head);
 }
 
 void OriginConnection::OnBody(std::string_view bytes)
 {
-  if (m_events != nullptr && !m_skipping)
-    m_events->OnAnswerBody(bytes);
+  if (m_handler != nullptr && !m_skipping)
+    m_handler->OnResponseBody(bytes);
 }
 
 void OriginConnection::OnMessageEnd() {}
--- a/Source/Core/Http/OriginConnection.h
+++ b/Source/Core/Http/OriginConnection.h
@@ -15,33 +15,34 @@
 namespace Http
 {
 /// Why an exchange with an origin server produced no complete response.
-enum class Breakage
+enum class ExchangeError
 {
   ConnectFailed,   ///< No byte was sent: the request cannot have run.
   ConnectTimedOut, ///< The connection was not established in time; no byte was sent.
   Closed,          ///< The peer closed before the response was complete.
   Reset,
-  TooLate,   ///< The send deadline passed before the request was sent; no more of it will be.
-  Malformed, ///< The received bytes are not a valid response.
+  SendDeadlinePassed, ///< The send deadline passed before the request was sent; no more of it will
+                      ///< be.
+  Malformed,          ///< The received bytes are not a valid response.
 };
 
 /// Receives the response to one request. No call follows the one that ends the exchange.
-class AnswerEvents
+class ResponseHandler
 {
 public:
-  enum class Verdict
+  enum class HeadAction
   {
-    Take,
+    Accept,
     Skip, ///< A response to another request; the expected one may follow.
   };
 
-  virtual ~AnswerEvents() = default;
-  virtual Verdict OnAnswerHead(MessageHead& head) = 0;
+  virtual ~ResponseHandler() = default;
+  virtual HeadAction OnResponseHead(MessageHead& head) = 0;
   /// Called for an interim response (1xx); the final one follows.
   virtual void OnInterimHead(MessageHead&) {}
-  virtual void OnAnswerBody(std::string_view bytes) = 0;
-  virtual void OnAnswerEnd() = 0;
-  virtual void OnAnswerBroken(Breakage breakage) = 0;
+  virtual void OnResponseBody(std::string_view bytes) = 0;
+  virtual void OnResponseEnd() = 0;
+  virtual void OnExchangeFailed(ExchangeError error) = 0;
 };
 
 /// A connection to an origin server. Carries one request at a time and never retries it.
@@ -52,12 +53,12 @@
 public:
   /// Starts to connect; returns nullptr where no socket can be opened or connected.
   static std::shared_ptr<OriginConnection> Connect(const Endpoint& peer,
-                                                   const KernelLimits& limits = {});
+                                                   const SocketOptions& options = {});
 
-  /// Sends a serialized request; no byte of it is sent at `before` or later. `events` must live
-  /// until the exchange has ended or `Abandon` has been called.
-  void Send(const std::string& request, AnswerEvents* events, bool no_body_expected = false,
-            Common::TimePoint before = ANY_TIME);
+  /// Sends a serialized request; no byte of it is sent at `send_deadline` or later. `handler` must
+  /// live until the exchange has ended or `Abandon` has been called.
+  void Send(const std::string& request, ResponseHandler* handler, bool no_body_expected = false,
+            Common::TimePoint send_deadline = NO_SEND_DEADLINE);
   /// Ends the exchange and the connection without further events. During an exchange, or with
   /// unsent output, the connection is reset; otherwise it is closed.
   void Abandon();
@@ -80,19 +81,19 @@
 private:
   OriginConnection();
 
-  void Break(Breakage breakage);
-  void EndAnswer(bool surplus_follows);
-  void NoteKeepAlive(const MessageHead& head);
+  void Break(ExchangeError error);
+  void EndResponse(bool extra_bytes_follow);
+  void UpdateKeepAlive(const MessageHead& head);
 
   std::shared_ptr<TcpStream> m_stream;
   MessageParser m_parser;
-  AnswerEvents* m_events = nullptr;
+  ResponseHandler* m_handler = nullptr;
   bool m_skipping = false;
   bool m_keep_alive = true;
-  bool m_answered = false; ///< At least one complete response has been received.
+  bool m_response_received = false; ///< At least one complete response has been received.
   std::optional<Common::Milliseconds> m_idle_limit; ///< Announced by the origin server.
   Common::TimePoint m_idle_since;
-  Common::TimePoint m_connect_by;
+  Common::TimePoint m_connect_deadline;
   Common::OwnedTimer m_connect_timer;
 };
 } // namespace Http
--- a/Source/Core/Http/Server.cpp
+++ b/Source/Core/Http/Server.cpp
@@ -74,9 +74,9 @@
   void Respond(int status, const std::string& content_type, std::string body,
                const Headers& headers) override
   {
-    if (m_closed || m_answered)
+    if (m_closed || m_responded)
       return;
-    m_answered = true;
+    m_responded = true;
     SetHead(status, headers);
     soup_server_message_set_response(m_message.Get(), content_type.c_str(), SOUP_MEMORY_COPY,
                                      body.data(), body.size());
@@ -85,9 +85,9 @@
 
   void StartStream(int status, const std::string& content_type, const Headers& headers) override
   {
-    if (m_closed || m_answered)
+    if (m_closed || m_responded)
       return;
-    m_answered = true;
+    m_responded = true;
     SetHead(status, headers);
     SoupMessageHeaders* response = soup_server_message_get_response_headers(m_message.Get());
     soup_message_headers_set_content_type(response, content_type.c_str(), nullptr);
@@ -108,8 +108,8 @@
     soup_server_message_unpause(m_message.Get());
     while (m_unsent > MAX_UNSENT_BYTES && !m_closed)
     {
-      m_room = Common::Completion<bool>();
-      co_await m_room.WaitUntil(Common::Now() + std::chrono::hours(1));
+      m_writable = Common::Completion<bool>();
+      co_await m_writable.WaitUntil(Common::Now() + std::chrono::hours(1));
     }
     co_return !m_closed;
   }
@@ -167,7 +167,7 @@
   {
     m_unsent -= std::min(size, m_unsent);
     if (m_unsent <= MAX_UNSENT_BYTES / 2)
-      m_room.Set(true);
+      m_writable.Set(true);
   }
 
   void Finish()
@@ -175,7 +175,7 @@
     g_signal_handlers_disconnect_by_data(m_message.Get(), this);
     m_closed = true;
     --*m_open_exchanges;
-    m_room.Set(false);
+    m_writable.Set(false);
     const auto self = std::move(m_self);
     if (auto callback = std::exchange(m_on_closed, nullptr))
       callback();
@@ -189,9 +189,9 @@
   std::shared_ptr<SoupExchange> m_self;
   std::size_t* m_open_exchanges = nullptr;
   std::function<void()> m_on_closed;
-  Common::Completion<bool> m_room;
+  Common::Completion<bool> m_writable;
   std::size_t m_unsent = 0;
-  bool m_answered = false;
+  bool m_responded = false;
   bool m_closed = false;
 };
 } // namespace
@@ -242,20 +242,20 @@
 
   void LimitChunkedBody(SoupServerMessage* message)
   {
-    auto* left = new std::size_t(limits.max_body_bytes);
-    g_object_set_data_full(G_OBJECT(message), "drumpond-left", left, [](gpointer data) {
+    auto* remaining = new std::size_t(limits.max_body_bytes);
+    g_object_set_data_full(G_OBJECT(message), "drumpond-left", remaining, [](gpointer data) {
       delete static_cast<std::size_t*>(data);
     });
     g_signal_connect(message, "got-chunk",
                      G_CALLBACK(+[](SoupServerMessage* got, GBytes* chunk, gpointer data) {
-                       auto* room = static_cast<std::size_t*>(data);
+                       auto* remaining_bytes = static_cast<std::size_t*>(data);
                        const std::size_t size = g_bytes_get_size(chunk);
-                       if (size <= *room)
-                         *room -= size;
+                       if (size <= *remaining_bytes)
+                         *remaining_bytes -= size;
                        else if (GSocket* socket = soup_server_message_get_socket(got))
                          g_socket_shutdown(socket, TRUE, TRUE, nullptr);
                      }),
-                     left);
+                     remaining);
   }
 };
 
@@ -281,8 +281,8 @@
         static_cast<Impl*>(data)->RefuseEarly(message);
       },
       m_impl.get(), nullptr);
-  Handler& kept = m_impl->handlers.emplace_back(std::move(handler));
-  auto* entry = new Entry{m_impl.get(), &kept};
+  Handler& stored_handler = m_impl->handlers.emplace_back(std::move(handler));
+  auto* entry = new Entry{m_impl.get(), &stored_handler};
   soup_server_add_handler(
       m_impl->soup.Get(), prefix.c_str(),
       [](SoupServer*, SoupServerMessage* message, const char* path, GHashTable*, gpointer data) {
--- a/Source/Core/Http/ServerConnection.cpp
+++ b/Source/Core/Http/ServerConnection.cpp
@@ -16,11 +16,11 @@
 {
 /// Maximum bytes of pipelined requests that are buffered while a request is open; beyond it reading
 /// pauses.
-constexpr std::size_t MAX_UNREAD = 65536;
+constexpr std::size_t MAX_UNREAD_BYTES = 65536;
 /// Delay between the end of the idle timeout and the close, in which the event loop polls all
 /// sockets once more: in a busy process, a request may have arrived long before and would be lost
 /// with the connection.
-constexpr Common::Milliseconds LAST_LOOK{1};
+constexpr Common::Milliseconds FINAL_POLL_DELAY{1};
 
 std::string HexLength(std::size_t size)
 {
@@ -83,9 +83,9 @@
 void ServerConnection::OnIdle()
 {
   // The timeout may have been raised while the connection was idle.
-  const auto rested = std::chrono::floor<Common::Milliseconds>(Common::Now() - m_idle_since);
-  const Common::Milliseconds left = m_handler.Limits().idle_timeout - rested;
-  m_timer.Start(std::max(left, LAST_LOOK), [this, is_last = left <= LAST_LOOK] {
+  const auto idle_for = std::chrono::floor<Common::Milliseconds>(Common::Now() - m_idle_since);
+  const Common::Milliseconds left = m_handler.Limits().idle_timeout - idle_for;
+  m_timer.Start(std::max(left, FINAL_POLL_DELAY), [this, is_last = left <= FINAL_POLL_DELAY] {
     if (!is_last)
     {
       OnIdle();
@@ -101,7 +101,7 @@
 {
   const auto guard = shared_from_this();
   m_unread.append(bytes);
-  if (m_request_open && m_unread.size() > MAX_UNREAD)
+  if (m_request_open && m_unread.size() > MAX_UNREAD_BYTES)
     m_stream->SetReading(false);
   Consume();
 }
@@ -139,7 +139,7 @@
       m_timer.Stop();
       m_request_open = true;
       m_head_only = m_request.head.method == "HEAD";
-      m_close_after_answer = !m_request.head.keep_alive;
+      m_close_after_response = !m_request.head.keep_alive;
       m_handler.OnRequest(shared_from_this(), std::exchange(m_request, {}));
     }
   }
@@ -172,7 +172,7 @@
 
 void ServerConnection::Reject(int status, std::string_view reason)
 {
-  m_close_after_answer = true;
+  m_close_after_response = true;
   m_request_open = true;
   Respond(status, reason, {}, "");
 }
@@ -182,7 +182,7 @@
                                  std::optional<std::size_t> length)
 {
   if (m_handler.IsStopping())
-    m_close_after_answer = true;
+    m_close_after_response = true;
   std::string head = "HTTP/1.1 " + std::to_string(status) + " " + std::string(reason) + "\r\n";
   for (const HeaderField& field : headers)
     head += field.name + ": " + field.value + "\r\n";
@@ -190,7 +190,7 @@
     head += "Content-Length: " + std::to_string(*length) + "\r\n";
   else
     head += "Transfer-Encoding: chunked\r\n";
-  if (m_close_after_answer)
+  if (m_close_after_response)
     head += "Connection: close\r\n";
   m_stream->Write(head + "\r\n");
 }
@@ -203,7 +203,7 @@
   WriteHead(status, reason, headers, body.size());
   if (!m_head_only)
     m_stream->Write(body);
-  EndAnswer();
+  EndResponse();
 }
 
 void ServerConnection::BeginChunked(int status, std::string_view reason,
@@ -224,16 +224,16 @@
   if (!m_stream->IsOpen())
     return;
   m_stream->Write("0\r\n\r\n");
-  EndAnswer();
+  EndResponse();
 }
 
-void ServerConnection::EndAnswer()
+void ServerConnection::EndResponse()
 {
   const auto guard = shared_from_this();
   m_request_open = false;
-  m_on_peer_gone = nullptr;
+  m_on_peer_disconnected = nullptr;
   m_on_all_sent = nullptr;
-  if (m_close_after_answer)
+  if (m_close_after_response)
   {
     if (m_stream->Unsent() == 0)
     {
@@ -250,11 +250,11 @@
     });
 }
 
-void ServerConnection::BreakAnswer()
+void ServerConnection::AbortResponse()
 {
   const auto guard = shared_from_this();
   m_request_open = false;
-  m_on_peer_gone = nullptr;
+  m_on_peer_disconnected = nullptr;
   m_on_all_sent = nullptr;
   m_stream->Close();
   Finish();
@@ -269,10 +269,10 @@
   Finish();
 }
 
-void ServerConnection::OnDrained()
+void ServerConnection::OnOutputFlushed()
 {
   const auto guard = shared_from_this();
-  if (!m_request_open && m_close_after_answer)
+  if (!m_request_open && m_close_after_response)
   {
     m_stream->Close();
     Finish();
@@ -289,10 +289,10 @@
 {
   const auto guard = shared_from_this();
   m_timer.Stop();
-  const auto gone = std::exchange(m_on_peer_gone, nullptr);
+  const auto on_peer_disconnected = std::exchange(m_on_peer_disconnected, nullptr);
   m_request_open = false;
-  if (gone)
-    gone();
+  if (on_peer_disconnected)
+    on_peer_disconnected();
   Finish();
 }
 
--- a/Source/Core/Http/ServerConnection.h
+++ b/Source/Core/Http/ServerConnection.h
@@ -61,12 +61,15 @@
   void SendChunk(std::string_view bytes);
   void EndChunked();
   /// Closes the connection in the middle of a response, so that it is not taken for a complete one.
-  void BreakAnswer();
+  void AbortResponse();
   /// Closes the connection if no request is open or partly received and no output is unsent.
   void CloseIfIdle();
 
   /// Sets a callback that runs once if the connection ends while a request is open.
-  void OnPeerGone(std::function<void()> callback) { m_on_peer_gone = std::move(callback); }
+  void OnPeerDisconnected(std::function<void()> callback)
+  {
+    m_on_peer_disconnected = std::move(callback);
+  }
   std::size_t UnsentBytes() const { return m_stream->Unsent(); }
   /// Sets a callback that runs when the event loop has flushed the output buffer; for backpressure.
   void OnAllSent(std::function<void()> callback) { m_on_all_sent = std::move(callback); }
@@ -80,7 +83,7 @@
 
   void OnBytes(std::string_view bytes) override;
   void OnEnd(StreamEnd end) override;
-  void OnDrained() override;
+  void OnOutputFlushed() override;
   void OnHead(MessageHead& head) override;
   void OnBody(std::string_view bytes) override;
   void OnMessageEnd() override;
@@ -92,7 +95,7 @@
   void Reject(int status, std::string_view reason);
   void WriteHead(int status, std::string_view reason, const std::vector<HeaderField>& headers,
                  std::optional<std::size_t> length);
-  void EndAnswer();
+  void EndResponse();
   void StartIdleTimer();
   void OnIdle();
   void Finish();
@@ -103,13 +106,13 @@
   std::string m_unread; ///< Bytes that follow the open request.
   ReceivedRequest m_request;
   bool m_request_open = false;
-  bool m_close_after_answer = false;
+  bool m_close_after_response = false;
   bool m_head_only = false; ///< The request is a HEAD: the response has no body.
   bool m_consuming = false;
   bool m_body_too_large = false;
   Common::OwnedTimer m_timer;
   Common::TimePoint m_idle_since;
-  std::function<void()> m_on_peer_gone;
+  std::function<void()> m_on_peer_disconnected;
   std::function<void()> m_on_all_sent;
   std::function<void(ServerConnection*)> m_on_finished;
 };
--- a/Source/Core/Http/TcpStream.cpp
+++ b/Source/Core/Http/TcpStream.cpp
@@ -36,12 +36,11 @@
   (void)setsockopt(fd, level, name, &value, sizeof(value));
 }
 
-void PrepareSocket(int fd, const KernelLimits& limits)
+void PrepareSocket(int fd, const SocketOptions& options)
 {
   SetOption(fd, IPPROTO_TCP, TCP_NODELAY, 1);
-  SetOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
-            static_cast<unsigned>(limits.unacknowledged.count()));
-  if (limits.dropped_at_end)
+  SetOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, static_cast<unsigned>(options.user_timeout.count()));
+  if (options.reset_on_close)
     SetOption(fd, SOL_SOCKET, SO_LINGER, linger{1, 0});
   SetOption(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
   SetOption(fd, IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S);
@@ -90,10 +89,10 @@
   return result;
 }
 
-TcpStream::TcpStream(int fd, StreamEvents* events, bool connected, const KernelLimits& limits)
+TcpStream::TcpStream(int fd, StreamEvents* events, bool connected, const SocketOptions& options)
     : m_fd(fd), m_events(events), m_connected(connected)
 {
-  PrepareSocket(fd, limits);
+  PrepareSocket(fd, options);
   m_armed = connected ? EPOLLIN : EPOLLOUT;
   m_watch = Common::Reactor::Get().Watch(fd, m_armed, this);
 }
@@ -104,7 +103,7 @@
 }
 
 std::shared_ptr<TcpStream> TcpStream::Connect(const Endpoint& peer, StreamEvents* events,
-                                              const KernelLimits& limits)
+                                              const SocketOptions& options)
 {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0)
@@ -116,7 +115,7 @@
     close(fd);
     return nullptr;
   }
-  return std::shared_ptr<TcpStream>(new TcpStream(fd, events, false, limits));
+  return std::shared_ptr<TcpStream>(new TcpStream(fd, events, false, options));
 }
 
 std::shared_ptr<TcpStream> TcpStream::Adopt(int fd, StreamEvents* events)
@@ -137,12 +136,12 @@
   Common::Reactor::Get().Rearm(m_watch, m_fd, wanted);
 }
 
-void TcpStream::Write(std::string_view bytes, Common::TimePoint before)
+void TcpStream::Write(std::string_view bytes, Common::TimePoint send_deadline)
 {
   if (m_fd < 0 || bytes.empty())
     return;
   m_out.append(bytes);
-  m_write_before = before;
+  m_send_deadline = send_deadline;
   // A passed deadline is detected again in the next loop iteration, which ends the connection.
   if (m_connected)
     (void)Flush();
@@ -154,7 +153,7 @@
   while (Unsent() > 0)
   {
     // Checked right before sending, since the process may be suspended between any two steps.
-    if (m_write_before != ANY_TIME && Common::Now() >= m_write_before)
+    if (m_send_deadline != NO_SEND_DEADLINE && Common::Now() >= m_send_deadline)
       return false;
     const ssize_t count = send(m_fd, m_out.data() + m_out_begin, Unsent(), MSG_NOSIGNAL);
     if (count < 0 && errno == EINTR)
@@ -193,7 +192,7 @@
   Close();
 }
 
-bool TcpStream::IsQuiet() const
+bool TcpStream::IsStillIdle() const
 {
   if (m_fd < 0)
     return false;
@@ -218,13 +217,13 @@
     return;
   if (!Flush())
   {
-    Fail(StreamEnd::TooLate);
+    Fail(StreamEnd::SendDeadlinePassed);
     return;
   }
   Arm();
 }
 
-void TcpStream::ReadAll()
+void TcpStream::ReadAvailable()
 {
   std::array<char, READ_BYTES> buffer;
   const ssize_t count = recv(m_fd, buffer.data(), buffer.size(), 0);
@@ -238,7 +237,7 @@
 
 void TcpStream::Fail(StreamEnd end)
 {
-  if (end == StreamEnd::TooLate)
+  if (end == StreamEnd::SendDeadlinePassed)
     Reset();
   else
     Close();
@@ -257,15 +256,15 @@
   {
     if (!Flush())
     {
-      Fail(StreamEnd::TooLate);
+      Fail(StreamEnd::SendDeadlinePassed);
       return;
     }
     Arm();
     if (Unsent() == 0)
-      m_events->OnDrained();
+      m_events->OnOutputFlushed();
   }
   if (m_fd >= 0 && (events & EPOLLIN) != 0)
-    ReadAll();
+    ReadAvailable();
   else if (m_fd >= 0 && (events & (EPOLLERR | EPOLLHUP)) != 0)
     Fail(StreamEnd::Reset);
 }
--- a/Source/Core/Http/TcpStream.h
+++ b/Source/Core/Http/TcpStream.h
@@ -32,25 +32,25 @@
 /// How a connection ended.
 enum class StreamEnd
 {
-  Closed,  ///< The peer closed the connection in an orderly way.
-  Reset,   ///< The connection was reset or failed.
-  TooLate, ///< The send deadline passed with output unsent, which was dropped.
+  Closed,             ///< The peer closed the connection in an orderly way.
+  Reset,              ///< The connection was reset or failed.
+  SendDeadlinePassed, ///< The send deadline passed with output unsent, which was dropped.
 };
 
 /// How the kernel treats bytes that it has accepted but the peer has not acknowledged.
-struct KernelLimits
+struct SocketOptions
 {
   /// TCP_USER_TIMEOUT: how long the kernel retransmits them before it fails the connection. A peer
   /// behind a network partition sends nothing, and without a limit a write to it would hang for
   /// minutes.
-  Common::Milliseconds unacknowledged{3000};
+  Common::Milliseconds user_timeout{3000};
   /// Drops them when the socket is closed, also by the exit of the process (SO_LINGER with a time
   /// of 0). Otherwise the kernel keeps sending them after a plain close.
-  bool dropped_at_end = false;
+  bool reset_on_close = false;
 };
 
 /// No send deadline: bytes may be sent at any time.
-inline constexpr Common::TimePoint ANY_TIME = Common::TimePoint::max();
+inline constexpr Common::TimePoint NO_SEND_DEADLINE = Common::TimePoint::max();
 
 /// Receives the events of a `TcpStream`. A call may destroy the stream's owner.
 class StreamEvents
@@ -61,7 +61,7 @@
   virtual void OnBytes(std::string_view bytes) = 0;
   virtual void OnEnd(StreamEnd end) = 0;
   /// Called when the event loop has handed all output to the kernel.
-  virtual void OnDrained() {}
+  virtual void OnOutputFlushed() {}
 };
 
 /// A non-blocking TCP connection on the reactor, with an output buffer.
@@ -71,7 +71,7 @@
   /// Starts to connect; `OnConnected` or `OnEnd` follows. Returns nullptr where no socket can be
   /// opened or connected.
   static std::shared_ptr<TcpStream> Connect(const Endpoint& peer, StreamEvents* events,
-                                            const KernelLimits& limits = {});
+                                            const SocketOptions& options = {});
   /// Takes ownership of an accepted descriptor.
   static std::shared_ptr<TcpStream> Adopt(int fd, StreamEvents* events);
 
@@ -79,13 +79,14 @@
   TcpStream(const TcpStream&) = delete;
   TcpStream& operator=(const TcpStream&) = delete;
 
-  /// Output that the kernel has not accepted by `before` is dropped and the connection ends with
-  /// `TooLate`: the process may have been suspended, and the request may no longer be valid.
-  void Write(std::string_view bytes, Common::TimePoint before = ANY_TIME);
+  /// Output that the kernel has not accepted by `send_deadline` is dropped and the connection ends
+  /// with `SendDeadlinePassed`: the process may have been suspended, and the request may no longer
+  /// be valid.
+  void Write(std::string_view bytes, Common::TimePoint send_deadline = NO_SEND_DEADLINE);
   /// Pauses or resumes reading; while paused, TCP flow control throttles the peer.
   void SetReading(bool reading);
   /// Closes the connection without further events. Bytes that the kernel has accepted are still
-  /// sent, unless `KernelLimits::dropped_at_end` is set.
+  /// sent, unless `SocketOptions::reset_on_close` is set.
   void Close();
   /// Resets the connection, so that the peer cannot mistake what it received for complete.
   void Reset();
@@ -96,16 +97,16 @@
   /// True if the kernel has accepted at least one byte.
   bool HasSent() const { return m_sent > 0; }
   /// Peeks at an idle connection: false if the peer has closed it or sent bytes.
-  bool IsQuiet() const;
+  bool IsStillIdle() const;
 
   void OnDescriptorEvents(std::uint32_t events) override;
 
 private:
-  TcpStream(int fd, StreamEvents* events, bool connected, const KernelLimits& limits);
+  TcpStream(int fd, StreamEvents* events, bool connected, const SocketOptions& options);
 
   void Arm();
   void FinishConnect();
-  void ReadAll();
+  void ReadAvailable();
   /// Hands as much output to the kernel as it accepts. Returns false if the send deadline has
   /// passed.
   bool Flush();
@@ -120,7 +121,7 @@
   std::string m_out;
   std::size_t m_out_begin = 0;
   std::uint64_t m_sent = 0;
-  Common::TimePoint m_write_before = ANY_TIME;
+  Common::TimePoint m_send_deadline = NO_SEND_DEADLINE;
 };
 
 /// Accepts incoming TCP connections.
--- a/Source/StandIns/Soak/Main.cpp
+++ b/Source/StandIns/Soak/Main.cpp
@@ -62,7 +62,7 @@
 constexpr int MORE_ROUTES = 700;
 constexpr int STATUS_OK = 200;
 constexpr double MS_PER_S = 1000;
-constexpr Http::Patience CALLER_PATIENCE{Milliseconds(6000), Milliseconds(6000)};
+constexpr Http::CallTimeouts CALLER_PATIENCE{Milliseconds(6000), Milliseconds(6000)};
 /// After the faults, so many of 100 requests are served.
 constexpr std::int64_t SERVED_AFTER_FAULTS = 95;
 
@@ -285,16 +285,16 @@
     const auto type = static_cast<RequestType>(Draw(4));
     static const char* const PATHS[] = {"/plain/x", "/once/x", "/stream/x", "/one/x"};
     const std::string id = "r" + std::to_string(++m_request_count);
-    Http::WholeRequest request{"POST",
-                               PATHS[static_cast<int>(type)],
-                               {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
-                               "body"};
+    Http::CompleteRequest request{"POST",
+                                  PATHS[static_cast<int>(type)],
+                                  {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
+                                  "body"};
     if (type == RequestType::Stream || type == RequestType::OnceStream)
       request.headers.push_back(
           {"Model", "m" + std::to_string(std::min(Draw(m_models), Draw(m_models)))});
     m_ledger.NoteSent(id, type, daemon.name);
     daemon.callers->Call(request, CALLER_PATIENCE,
-                         [this, id](Common::Result<Http::WholeAnswer> answer) {
+                         [this, id](Common::Result<Http::CompleteResponse> answer) {
                            if (answer)
                              m_ledger.NoteAnswer(id, answer->status, answer->body);
                            else
@@ -312,7 +312,7 @@
     const auto number = Draw(static_cast<std::uint64_t>(m_crashers));
     const std::string id = "c" + std::to_string(++m_request_count);
     const bool is_plain = number == 0;
-    Http::WholeRequest request{
+    Http::CompleteRequest request{
         "POST",
         is_plain ? "/plain/x" : "/stream/x",
         {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
@@ -531,14 +531,14 @@
     for (DaemonSlot& daemon : m_daemons)
     {
       const std::string id = std::string("newest-").append(daemon.name);
-      const Http::WholeRequest request{
+      const Http::CompleteRequest request{
           "POST",
           m_newest_path,
           {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "2000"}},
           "body"};
       m_ledger.NoteSent(id, RequestType::Plain, daemon.name);
       daemon.callers->Call(request, CALLER_PATIENCE,
-                           [this, id](Common::Result<Http::WholeAnswer> answer) {
+                           [this, id](Common::Result<Http::CompleteResponse> answer) {
                              const int status = answer ? answer->status : 0;
                              m_ledger.NoteAnswer(id, status, answer ? answer->body : "");
                              if (status != STATUS_OK)
--- a/Source/StandIns/Soak/StandInServer.cpp
+++ b/Source/StandIns/Soak/StandInServer.cpp
@@ -104,7 +104,7 @@
   SetLimit(std::nullopt);
   const auto connections = m_connections;
   for (const auto& [key, connection] : connections)
-    connection->BreakAnswer();
+    connection->AbortResponse();
 }
 
 void StandInServer::Drain()
@@ -242,7 +242,7 @@
   }
   After(PLAIN_WORK, [this, connection, id] {
     if (m_mood == ServerMood::Resets && Common::SharedRandom()() % 3 == 0)
-      connection->BreakAnswer();
+      connection->AbortResponse();
     else
     {
       NoteAnnouncement(id);
@@ -265,7 +265,7 @@
   if (m_mood == ServerMood::Resets && Common::SharedRandom()() % BREAKS_ONE_IN == 0)
   {
     connection->SendChunk(text.substr(0, text.size() / 2));
-    connection->BreakAnswer();
+    connection->AbortResponse();
     return;
   }
   connection->SendChunk(text);
--- a/Source/StandIns/Soak/StandInStore.cpp
+++ b/Source/StandIns/Soak/StandInStore.cpp
@@ -200,7 +200,7 @@
           {Common::GetOr<std::string>(row, "value", ""), 0, false});
   const bool lost = m_mood == StoreMood::LosesSome && Common::SharedRandom()() % LOSES_ONE_IN == 0;
   if (lost)
-    connection->BreakAnswer();
+    connection->AbortResponse();
   else
     Answer(connection, 200, Json::object());
 }
--- a/Source/UnitTests/Common/SuspendedVmTest.cpp
+++ b/Source/UnitTests/Common/SuspendedVmTest.cpp
@@ -26,15 +26,15 @@
 constexpr Milliseconds SUSPENDED{5000};
 
 /// Records how an exchange failed.
-class BreakageRecorder : public Http::AnswerEvents
+class BreakageRecorder : public Http::ResponseHandler
 {
 public:
-  Verdict OnAnswerHead(Http::MessageHead&) override { return Verdict::Take; }
-  void OnAnswerBody(std::string_view) override {}
-  void OnAnswerEnd() override {}
-  void OnAnswerBroken(Http::Breakage breakage) override { last = breakage; }
+  HeadAction OnResponseHead(Http::MessageHead&) override { return HeadAction::Accept; }
+  void OnResponseBody(std::string_view) override {}
+  void OnResponseEnd() override {}
+  void OnExchangeFailed(Http::ExchangeError breakage) override { last = breakage; }
 
-  std::optional<Http::Breakage> last;
+  std::optional<Http::ExchangeError> last;
 };
 
 class SuspendedVmTest : public CppUnit::TestFixture
@@ -54,7 +54,7 @@
     connection->Send("GET / HTTP/1.1\r\nLeft-Ms: 1500\r\n\r\n", &recorder);
     SuspendVm(SUSPENDED);
     RunFor(Milliseconds(50));
-    CPPUNIT_ASSERT(recorder.last == Http::Breakage::ConnectTimedOut);
+    CPPUNIT_ASSERT(recorder.last == Http::ExchangeError::ConnectTimedOut);
     CPPUNIT_ASSERT(server.requests.empty());
   }
 
--- a/Source/UnitTests/Fuzz.cpp
+++ b/Source/UnitTests/Fuzz.cpp
@@ -40,25 +40,25 @@
   std::function<void(const std::string&)> decode;
 };
 
-std::string Damage(std::string bytes, Common::Random& random)
+std::string Mutate(std::string bytes, Common::Random& random)
 {
   const auto changes = random() % MAX_CHANGES;
   for (std::uint64_t change = 0; change <= changes && !bytes.empty(); ++change)
   {
-    const std::size_t place = random() % bytes.size();
+    const std::size_t position = random() % bytes.size();
     switch (random() % 4)
     {
     case 0:
-      bytes[place] = static_cast<char>(random());
+      bytes[position] = static_cast<char>(random());
       break;
     case 1:
-      bytes.erase(place);
+      bytes.erase(position);
       break;
     case 2:
-      bytes.insert(place, 1 + random() % 9, static_cast<char>(random()));
+      bytes.insert(position, 1 + random() % 9, static_cast<char>(random()));
       break;
     default:
-      bytes += bytes.substr(place, 40);
+      bytes += bytes.substr(position, 40);
     }
   }
   return bytes;
@@ -87,7 +87,7 @@
 
 /// Checks that a forwarded request never carries a key or an account other than the one the relay
 /// adds, even for a server that ignores case, whitespace and word separators in header names.
-void ForwardWithoutKey(const std::string& bytes)
+void CheckForwardedHeaders(const std::string& bytes)
 {
   const auto request = ParseRequest(bytes);
   if (!request)
@@ -169,10 +169,10 @@
       {"key headers",
        "POST /a HTTP/1.1\r\nHost: h\r\nKey: k\r\nKEY : k\r\n key: k\r\nTenant: t\r\n"
        "Connection: Key, tenant\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\nKey: k\r\n\r\n",
-       ForwardWithoutKey},
+       CheckForwardedHeaders},
       {"plain key headers",
        "GET /a HTTP/1.1\r\nHost: h\r\nKey: k\r\nkey:\tk\r\nTenant: t\r\ntENANT: u\r\n\r\n",
-       ForwardWithoutKey},
+       CheckForwardedHeaders},
       {"configuration",
        R"({"version":7,"routes":[{"name":"r","host":"h","pathPrefix":"/p/","kind":"idempotent",)"
        R"("service":"s","public":true}],"services":[{"name":"s"}],"tenants":[{"name":"a",)"
@@ -204,7 +204,7 @@
 
 /// Returns false if the decoder throws an exception, that is, does not handle malformed input. A
 /// crash ends the program.
-bool Survives(const Target& target, int rounds)
+bool RunsWithoutException(const Target& target, int rounds)
 {
   Common::Random random(SEED);
   try
@@ -215,7 +215,7 @@
       std::string bytes = target.sample;
       if (round % 4 == 0)
         bytes = std::string(random() % 200, static_cast<char>(random()));
-      target.decode(Damage(bytes, random));
+      target.decode(Mutate(bytes, random));
     }
     return true;
   }
@@ -233,10 +233,9 @@
   int passed = 0;
   for (const Target& target : Targets())
   {
-    const bool survived = Survives(target, rounds);
-    ++(survived ? passed : failed);
-    std::cout << (survived ? "pass" : "FAIL") << " fuzz " << target.name << ": " << rounds
-              << " inputs\n";
+    const bool ok = RunsWithoutException(target, rounds);
+    ++(ok ? passed : failed);
+    std::cout << (ok ? "pass" : "FAIL") << " fuzz " << target.name << ": " << rounds << " inputs\n";
   }
   std::cout << passed << " passed, " << failed << " failed\n";
   return failed;
--- a/Source/UnitTests/Http/ChannelTest.cpp
+++ b/Source/UnitTests/Http/ChannelTest.cpp
@@ -22,24 +22,24 @@
 class ChannelTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ChannelTest);
-  CPPUNIT_TEST(ACallThatTimesOutIsReset);
-  CPPUNIT_TEST(AConnectionIsUsedAgain);
-  CPPUNIT_TEST(AnAnswerThatHasArrivedIsReadBeforeTheCallIsGivenUp);
-  CPPUNIT_TEST(NothingGoesOutAfterAFreezeThatOutlastsItsTime);
-  CPPUNIT_TEST(NothingGoesOutTooLateOnAKeptConnection);
-  CPPUNIT_TEST(AbandonedCallsAreReset);
+  CPPUNIT_TEST(TimedOutCallResetsItsConnection);
+  CPPUNIT_TEST(ReusesConnections);
+  CPPUNIT_TEST(ReadsArrivedResponseBeforeTimingOut);
+  CPPUNIT_TEST(SendsNothingAfterSuspensionPastSendDeadline);
+  CPPUNIT_TEST(SendsNothingPastSendDeadlineOnReusedConnection);
+  CPPUNIT_TEST(AbandonResetsConnections);
   CPPUNIT_TEST_SUITE_END();
 
   /// After a plain close, the kernel could deliver the request later, once a network partition has
   /// healed.
-  void ACallThatTimesOutIsReset()
+  void TimedOutCallResetsItsConnection()
   {
     TestServer server([](TestPeer&, const std::string&) {});
     Http::Channel channel(server.Address());
     std::optional<Common::FailureKind> failed;
     channel.Call({"POST", "/order", {}, ""}, {Milliseconds(50), Milliseconds(50)},
-                 [&](Common::Result<Http::WholeAnswer> answer) {
-                   failed = answer.Reason().kind;
+                 [&](Common::Result<Http::CompleteResponse> response) {
+                   failed = response.Reason().kind;
                  });
     CPPUNIT_ASSERT(RunUntil([&] {
       return failed.has_value();
@@ -51,21 +51,21 @@
     CPPUNIT_ASSERT(server.peers.at(0)->end == Http::StreamEnd::Reset);
   }
 
-  void AConnectionIsUsedAgain()
+  void ReusesConnections()
   {
     TestServer server([](TestPeer& peer, const std::string&) {
       peer.stream->Write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
     });
     Http::Channel channel(server.Address());
-    int answers = 0;
+    int responses = 0;
     for (int call = 1; call <= 3; ++call)
     {
       channel.Call({"GET", "/x", {}, ""}, {Milliseconds(500), Milliseconds(500)},
-                   [&](Common::Result<Http::WholeAnswer> answer) {
-                     answers += answer && answer->body == "hi";
+                   [&](Common::Result<Http::CompleteResponse> response) {
+                     responses += response && response->body == "hi";
                    });
       CPPUNIT_ASSERT(RunUntil([&] {
-        return answers == call;
+        return responses == call;
       }));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), server.peers.size());
@@ -74,22 +74,22 @@
   /// A call on a VM with 0.12 cores timed out although its response was in the socket buffer: the
   /// daemon was busy with a new configuration for longer than the call's timeout, the response
   /// arrived meanwhile, and the next loop iteration ran the timer before it read the socket.
-  void AnAnswerThatHasArrivedIsReadBeforeTheCallIsGivenUp()
+  void ReadsArrivedResponseBeforeTimingOut()
   {
     TestServer server([](TestPeer& peer, const std::string&) {
       peer.stream->Write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
       std::this_thread::sleep_for(Milliseconds(100));
     });
     Http::Channel channel(server.Address());
-    std::optional<bool> answered;
+    std::optional<bool> succeeded;
     channel.Call({"GET", "/x", {}, ""}, {Milliseconds(50), Milliseconds(50)},
-                 [&](Common::Result<Http::WholeAnswer> answer) {
-                   answered = static_cast<bool>(answer);
+                 [&](Common::Result<Http::CompleteResponse> response) {
+                   succeeded = static_cast<bool>(response);
                  });
     CPPUNIT_ASSERT(RunUntil([&] {
-      return answered.has_value();
+      return succeeded.has_value();
     }));
-    CPPUNIT_ASSERT(*answered);
+    CPPUNIT_ASSERT(*succeeded);
   }
 
   /// A backend server accepted an order of a lease holder 7 s after the last time at which that
@@ -98,15 +98,15 @@
   /// completed the connection meanwhile, and on resumption the loop sent the order before it ran
   /// any timer, because the lease was checked when the call was made and not when its bytes were
   /// sent. In a replay of that day, eight orders logged before the suspension had no result yet.
-  void NothingGoesOutAfterAFreezeThatOutlastsItsTime()
+  void SendsNothingAfterSuspensionPastSendDeadline()
   {
     TestServer server([](TestPeer&, const std::string&) {});
     Http::Channel channel(server.Address());
     std::optional<Common::FailureKind> failed;
     channel.Call(
         {"POST", "/order", {}, ""}, {Milliseconds(500), Milliseconds(500)},
-        [&](Common::Result<Http::WholeAnswer> answer) {
-          failed = answer.Reason().kind;
+        [&](Common::Result<Http::CompleteResponse> response) {
+          failed = response.Reason().kind;
         },
         Common::Now() + Milliseconds(30));
     std::this_thread::sleep_for(Milliseconds(60));
@@ -118,41 +118,41 @@
     CPPUNIT_ASSERT(server.requests.empty());
   }
 
-  void NothingGoesOutTooLateOnAKeptConnection()
+  void SendsNothingPastSendDeadlineOnReusedConnection()
   {
     TestServer server([](TestPeer& peer, const std::string&) {
       peer.stream->Write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi");
     });
     Http::Channel channel(server.Address());
-    std::vector<Common::Result<Http::WholeAnswer>> answers;
-    const auto call = [&](Common::TimePoint before) {
+    std::vector<Common::Result<Http::CompleteResponse>> responses;
+    const auto call = [&](Common::TimePoint send_deadline) {
       channel.Call(
           {"POST", "/order", {}, ""}, {Milliseconds(500), Milliseconds(500)},
-          [&](Common::Result<Http::WholeAnswer> answer) {
-            answers.push_back(std::move(answer));
+          [&](Common::Result<Http::CompleteResponse> response) {
+            responses.push_back(std::move(response));
           },
-          before);
-      const std::size_t expected = answers.size() + 1;
+          send_deadline);
+      const std::size_t expected = responses.size() + 1;
       return RunUntil([&] {
-        return answers.size() == expected;
+        return responses.size() == expected;
       });
     };
     CPPUNIT_ASSERT(call(Common::Now() + Milliseconds(1000)));
     CPPUNIT_ASSERT(call(Common::Now()));
-    CPPUNIT_ASSERT(answers[0]);
-    CPPUNIT_ASSERT(!answers[1]);
+    CPPUNIT_ASSERT(responses[0]);
+    CPPUNIT_ASSERT(!responses[1]);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), server.requests.size());
   }
 
   /// A holder that loses the order lease abandons its orders that have no result yet.
-  void AbandonedCallsAreReset()
+  void AbandonResetsConnections()
   {
     TestServer server([](TestPeer&, const std::string&) {});
     Http::Channel channel(server.Address());
-    bool told = false;
+    bool called_back = false;
     channel.Call({"POST", "/order", {}, ""}, {Milliseconds(500), Milliseconds(500)},
-                 [&](const Common::Result<Http::WholeAnswer>&) {
-                   told = true;
+                 [&](const Common::Result<Http::CompleteResponse>&) {
+                   called_back = true;
                  });
     CPPUNIT_ASSERT(RunUntil([&] {
       return !server.requests.empty();
@@ -162,7 +162,7 @@
       return server.peers.at(0)->ended;
     }));
     CPPUNIT_ASSERT(server.peers.at(0)->end == Http::StreamEnd::Reset);
-    CPPUNIT_ASSERT(!told);
+    CPPUNIT_ASSERT(!called_back);
   }
 };
 
--- a/Source/UnitTests/Http/ClientTest.cpp
+++ b/Source/UnitTests/Http/ClientTest.cpp
@@ -23,8 +23,8 @@
 class ClientTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ClientTest);
-  CPPUNIT_TEST(ALongAnswerComesOverAWeakLink);
-  CPPUNIT_TEST(APeerThatFallsSilentWithinAnAnswerIsGivenUp);
+  CPPUNIT_TEST(ReadsLongResponseOverSlowLink);
+  CPPUNIT_TEST(TimesOutWhenResponseStalls);
   CPPUNIT_TEST_SUITE_END();
 
   static Http::Request RequestTo(const ThrottledServer& server)
@@ -38,7 +38,7 @@
   /// A daemon could never read the platform's table if the transfer of the list took longer than
   /// the timeout of a call, which covered the complete response: 800 KB at 10 Mbit/s take 0.64 s,
   /// the timeout was 0.3 s, and each retry started from the beginning.
-  void ALongAnswerComesOverAWeakLink()
+  void ReadsLongResponseOverSlowLink()
   {
     ThrottledServer server(std::string(800'000, 'x'));
     Http::Client client;
@@ -51,7 +51,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(800'000), (*outcome)->body.size());
   }
 
-  void APeerThatFallsSilentWithinAnAnswerIsGivenUp()
+  void TimesOutWhenResponseStalls()
   {
     ThrottledServer server(std::string(800'000, 'x'));
     server.StopSendingAfter(100'000);
--- a/Source/UnitTests/Http/MessageParserTest.cpp
+++ b/Source/UnitTests/Http/MessageParserTest.cpp
@@ -24,17 +24,17 @@
 class MessageParserTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(MessageParserTest);
-  CPPUNIT_TEST(KeepsTargetAndHeadersAsTheyCame);
+  CPPUNIT_TEST(PreservesTargetAndHeaders);
   CPPUNIT_TEST(ReadsByteByByte);
-  CPPUNIT_TEST(StopsBehindTheMessage);
+  CPPUNIT_TEST(StopsAfterTheMessage);
   CPPUNIT_TEST(ReadsChunks);
-  CPPUNIT_TEST(RefusesLengthAndChunksTogether);
-  CPPUNIT_TEST(RefusesLongHeads);
-  CPPUNIT_TEST(ABodyWithoutLengthEndsWithTheConnection);
-  CPPUNIT_TEST(AShortBodyIsNotWhole);
-  CPPUNIT_TEST(SkipsInterimAnswers);
-  CPPUNIT_TEST(RefusesWhatIsNoAnswer);
-  CPPUNIT_TEST(RefusesBlanksInTheNamesOfARequestsHeaders);
+  CPPUNIT_TEST(RejectsContentLengthWithChunkedEncoding);
+  CPPUNIT_TEST(RejectsLongHeaders);
+  CPPUNIT_TEST(BodyWithoutLengthEndsWithConnection);
+  CPPUNIT_TEST(TruncatedBodyIsMalformed);
+  CPPUNIT_TEST(SkipsInterimResponses);
+  CPPUNIT_TEST(RejectsInvalidResponse);
+  CPPUNIT_TEST(RejectsWhitespaceInRequestHeaderNames);
   CPPUNIT_TEST_SUITE_END();
 
   static MessageParser::Status FeedAll(MessageParser& parser, std::string_view bytes,
@@ -46,7 +46,7 @@
   /// A caller's key leaked to a server: the caller sent "Key : secret", the relay found no header
   /// "Key" to remove and forwarded it, and the server stripped the space and read the key.
   /// http-parser accepts whitespace in names, which RFC 9112 (5.1) forbids.
-  void RefusesBlanksInTheNamesOfARequestsHeaders()
+  void RejectsWhitespaceInRequestHeaderNames()
   {
     for (const char* header : {"Key : s", " Key: s", "Ke y: s", "A: b\r\nKey\t: s"})
     {
@@ -59,7 +59,7 @@
     }
   }
 
-  void KeepsTargetAndHeadersAsTheyCame()
+  void PreservesTargetAndHeaders()
   {
     Recorder recorder;
     MessageParser parser(MessageParser::Kind::Request, &recorder);
@@ -89,7 +89,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("b"), *recorder.head.Find("a"));
   }
 
-  void StopsBehindTheMessage()
+  void StopsAfterTheMessage()
   {
     Recorder recorder;
     MessageParser parser(MessageParser::Kind::Response, &recorder);
@@ -114,7 +114,7 @@
     CPPUNIT_ASSERT(recorder.head.chunked);
   }
 
-  void RefusesLengthAndChunksTogether()
+  void RejectsContentLengthWithChunkedEncoding()
   {
     Recorder recorder;
     MessageParser parser(MessageParser::Kind::Request, &recorder);
@@ -125,7 +125,7 @@
             &consumed) == MessageParser::Status::Malformed);
   }
 
-  void RefusesLongHeads()
+  void RejectsLongHeaders()
   {
     Recorder recorder;
     MessageParser parser(MessageParser::Kind::Request, &recorder);
@@ -135,7 +135,7 @@
     CPPUNIT_ASSERT(parser.Feed(bytes, &consumed) == MessageParser::Status::HeaderTooLarge);
   }
 
-  void ABodyWithoutLengthEndsWithTheConnection()
+  void BodyWithoutLengthEndsWithConnection()
   {
     Recorder recorder;
     MessageParser parser(MessageParser::Kind::Response, &recorder);
@@ -146,7 +146,7 @@
     CPPUNIT_ASSERT(parser.FeedEnd() == MessageParser::Status::MessageEnded);
   }
 
-  void AShortBodyIsNotWhole()
+  void TruncatedBodyIsMalformed()
   {
     Recorder recorder;
     MessageParser parser(MessageParser::Kind::Response, &recorder);
@@ -156,7 +156,7 @@
     CPPUNIT_ASSERT(parser.FeedEnd() == MessageParser::Status::Malformed);
   }
 
-  void SkipsInterimAnswers()
+  void SkipsInterimResponses()
   {
     Recorder recorder;
     MessageParser parser(MessageParser::Kind::Response, &recorder);
@@ -169,7 +169,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("x"), recorder.body);
   }
 
-  void RefusesWhatIsNoAnswer()
+  void RejectsInvalidResponse()
   {
     Recorder recorder;
     MessageParser parser(MessageParser::Kind::Response, &recorder);
--- a/Source/UnitTests/Http/OriginConnectionTest.cpp
+++ b/Source/UnitTests/Http/OriginConnectionTest.cpp
@@ -17,16 +17,16 @@
 using Common::Milliseconds;
 
 /// Records how an exchange ended.
-class Listener : public Http::AnswerEvents
+class ExchangeRecorder : public Http::ResponseHandler
 {
 public:
-  Verdict OnAnswerHead(Http::MessageHead&) override { return Verdict::Take; }
-  void OnAnswerBody(std::string_view) override {}
-  void OnAnswerEnd() override { ended = true; }
-  void OnAnswerBroken(Http::Breakage how) override { breakage = how; }
+  HeadAction OnResponseHead(Http::MessageHead&) override { return HeadAction::Accept; }
+  void OnResponseBody(std::string_view) override {}
+  void OnResponseEnd() override { ended = true; }
+  void OnExchangeFailed(Http::ExchangeError got) override { error = got; }
 
   bool ended = false;
-  std::optional<Http::Breakage> breakage;
+  std::optional<Http::ExchangeError> error;
 };
 
 /// A listening port with a full accept queue, so that the kernel drops further connection requests.
@@ -43,8 +43,8 @@
     CPPUNIT_ASSERT_EQUAL(0, listen(m_fds[0], 0));
     CPPUNIT_ASSERT_EQUAL(0, getsockname(m_fds[0], raw, &size));
     m_endpoint = Http::Endpoint::FromSockaddr(address);
-    constexpr int MORE_THAN_IT_QUEUES = 4;
-    for (int i = 0; i < MORE_THAN_IT_QUEUES; ++i)
+    constexpr int MORE_THAN_BACKLOG = 4;
+    for (int i = 0; i < MORE_THAN_BACKLOG; ++i)
     {
       m_fds.push_back(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0));
       (void)connect(m_fds.back(), raw, size);
@@ -68,33 +68,33 @@
 class OriginConnectionTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(OriginConnectionTest);
-  CPPUNIT_TEST(AConnectionThatIsNotTakenIsGivenUp);
-  CPPUNIT_TEST(AnAnswerMayTakeLongerThanAConnection);
+  CPPUNIT_TEST(UnacceptedConnectionTimesOut);
+  CPPUNIT_TEST(ResponseMayTakeLongerThanConnectTimeout);
   CPPUNIT_TEST_SUITE_END();
 
-  void AConnectionThatIsNotTakenIsGivenUp()
+  void UnacceptedConnectionTimesOut()
   {
     const FullPort port;
-    Listener events;
+    ExchangeRecorder events;
     const auto connection = Http::OriginConnection::Connect(port.Address());
     connection->Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n", &events);
     CPPUNIT_ASSERT(UnitTests::RunUntil(
         [&] {
-          return events.breakage.has_value();
+          return events.error.has_value();
         },
         Milliseconds(800)));
-    CPPUNIT_ASSERT(*events.breakage == Http::Breakage::ConnectTimedOut);
+    CPPUNIT_ASSERT(*events.error == Http::ExchangeError::ConnectTimedOut);
     CPPUNIT_ASSERT(!connection->HasSent());
   }
 
-  void AnAnswerMayTakeLongerThanAConnection()
+  void ResponseMayTakeLongerThanConnectTimeout()
   {
     UnitTests::TestServer server([](UnitTests::TestPeer&, const std::string&) {});
-    Listener events;
+    ExchangeRecorder events;
     const auto connection = Http::OriginConnection::Connect(server.Address());
     connection->Send("GET / HTTP/1.1\r\nHost: a\r\n\r\n", &events);
     UnitTests::RunFor(Milliseconds(600));
-    CPPUNIT_ASSERT(!events.breakage);
+    CPPUNIT_ASSERT(!events.error);
     connection->Abandon();
   }
 };
--- a/Source/UnitTests/Http/ServerConnectionTest.cpp
+++ b/Source/UnitTests/Http/ServerConnectionTest.cpp
@@ -38,9 +38,9 @@
 class ServerConnectionTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(ServerConnectionTest);
-  CPPUNIT_TEST(ARequestThatComesAsTheIdleTimeEndsIsAnswered);
-  CPPUNIT_TEST(ARaisedIdleTimeHoldsForConnectionsThatRest);
-  CPPUNIT_TEST(AnIdleConnectionIsClosed);
+  CPPUNIT_TEST(AnswersRequestAtIdleTimeout);
+  CPPUNIT_TEST(RaisedIdleTimeoutAppliesToIdleConnections);
+  CPPUNIT_TEST(ClosesIdleConnections);
   CPPUNIT_TEST_SUITE_END();
 
 public:
@@ -63,7 +63,7 @@
 
   /// In a busy process, the idle timeout and the timer that sends the request are both due in the
   /// same loop iteration, so the request arrives after the sockets were last polled.
-  void ARequestThatComesAsTheIdleTimeEndsIsAnswered()
+  void AnswersRequestAtIdleTimeout()
   {
     Common::Reactor::Get().After(Milliseconds(10), [this] {
       SendRequest();
@@ -76,7 +76,7 @@
         Milliseconds(500)));
   }
 
-  void ARaisedIdleTimeHoldsForConnectionsThatRest()
+  void RaisedIdleTimeoutAppliesToIdleConnections()
   {
     m_handler->limits.idle_timeout = Milliseconds(10000);
     UnitTests::RunFor(Milliseconds(60));
@@ -87,7 +87,7 @@
     }));
   }
 
-  void AnIdleConnectionIsClosed()
+  void ClosesIdleConnections()
   {
     CPPUNIT_ASSERT(UnitTests::RunUntil([this] {
       return !m_connection->IsOpen();
--- a/Source/UnitTests/Support/LimitedFleet.cpp
+++ b/Source/UnitTests/Support/LimitedFleet.cpp
@@ -11,7 +11,7 @@
 {
 namespace
 {
-constexpr Http::Patience CALLER_PATIENCE{Milliseconds(3000), Milliseconds(3000)};
+constexpr Http::CallTimeouts CALLER_PATIENCE{Milliseconds(3000), Milliseconds(3000)};
 
 /// Refusals within this time count as immediate: a waiting request is retried only after 40 ms.
 constexpr Milliseconds MAX_IMMEDIATE_REFUSAL{30};
@@ -136,11 +136,12 @@
 
 void LimitedVm::Ask(const std::string& id, std::function<void(int status)> on_answer)
 {
-  const Http::WholeRequest request{
+  const Http::CompleteRequest request{
       "POST", std::string(PLAIN_PATH) + "x", {{"Host", "shop.example"}, {"Req-Id", id}}, ""};
-  m_callers->Call(request, CALLER_PATIENCE, [on_answer](Common::Result<Http::WholeAnswer> answer) {
-    on_answer(answer ? answer->status : 0);
-  });
+  m_callers->Call(request, CALLER_PATIENCE,
+                  [on_answer](Common::Result<Http::CompleteResponse> answer) {
+                    on_answer(answer ? answer->status : 0);
+                  });
 }
 
 LimitedFleet::LimitedFleet(int vm_count, int server_count)
