--- a/Source/Core/Http/Channel.cpp
+++ b/Source/Core/Http/Channel.cpp
@@ -12,28 +12,28 @@
 {
 namespace
 {
-/// Idle connections kept to one peer.
+/// Maximum number of idle connections to one peer.
 constexpr std::size_t MAX_IDLE = 4;
 
-Common::FailureKind KindOf(Breakage breakage)
+Common::FailureKind ToFailureKind(ExchangeError error)
 {
-  switch (breakage)
+  switch (error)
   {
-  case Breakage::ConnectFailed:
-  case Breakage::ConnectTimedOut:
-  case Breakage::TooLate:
+  case ExchangeError::ConnectFailed:
+  case ExchangeError::ConnectTimedOut:
+  case ExchangeError::SendDeadlinePassed:
     return Common::FailureKind::NotSent;
-  case Breakage::Malformed:
+  case ExchangeError::Malformed:
     return Common::FailureKind::Protocol;
-  case Breakage::Closed:
-  case Breakage::Reset:
+  case ExchangeError::Closed:
+  case ExchangeError::Reset:
     break;
   }
   return Common::FailureKind::OutcomeUnknown;
 }
 } // namespace
 
-const std::string* WholeAnswer::Find(std::string_view name) const
+const std::string* CompleteResponse::Find(std::string_view name) const
 {
   const auto found = std::ranges::find_if(headers, [&](const HeaderField& field) {
     return EqualIgnoringCase(field.name, name);
@@ -41,13 +41,13 @@
   return found == headers.end() ? nullptr : &found->value;
 }
 
-std::string Serialise(const WholeRequest& request, const Endpoint& peer)
+std::string SerializeRequest(const CompleteRequest& request, const Endpoint& peer)
 {
   std::string bytes = request.method + " " + request.target + " HTTP/1.1\r\n";
-  const bool names_host = std::ranges::any_of(request.headers, [](const HeaderField& field) {
+  const bool has_host = std::ranges::any_of(request.headers, [](const HeaderField& field) {
     return EqualIgnoringCase(field.name, "Host");
   });
-  if (!names_host)
+  if (!has_host)
     bytes += "Host: " + peer.ToString() + "\r\n";
   for (const HeaderField& field : request.headers)
     bytes += field.name + ": " + field.value + "\r\n";
@@ -56,13 +56,13 @@
   return bytes + "\r\n" + request.body;
 }
 
-class Channel::PendingCall : public AnswerEvents
+class Channel::PendingCall : public ResponseHandler
 {
 public:
-  PendingCall(Channel& channel, const Patience& patience, Callback on_result)
-      : callback(std::move(on_result)), m_channel(channel), m_patience(patience)
+  PendingCall(Channel& channel, const CallTimeouts& timeouts, Callback on_result)
+      : callback(std::move(on_result)), m_channel(channel), m_timeouts(timeouts)
   {
-    Watch(m_patience.before_head);
+    StartTimer(m_timeouts.head_timeout);
   }
   ~PendingCall() override
   {
@@ -70,107 +70,110 @@
       connection->Abandon();
   }
 
-  Verdict OnAnswerHead(MessageHead& head) override
+  HeadAction OnResponseHead(MessageHead& head) override
   {
-    m_heard_at = Common::Now();
-    Watch(m_patience.within_body);
-    m_answer.status = head.status;
-    m_answer.headers = head.headers;
-    return Verdict::Take;
+    m_last_bytes_at = Common::Now();
+    StartTimer(m_timeouts.stall_timeout);
+    m_response.status = head.status;
+    m_response.headers = head.headers;
+    return HeadAction::Accept;
   }
-  void OnAnswerBody(std::string_view bytes) override
+  void OnResponseBody(std::string_view bytes) override
   {
-    m_heard_at = Common::Now();
-    m_answer.body.append(bytes);
+    m_last_bytes_at = Common::Now();
+    m_response.body.append(bytes);
   }
-  void OnAnswerEnd() override
+  void OnResponseEnd() override
   {
     m_channel.m_idle.Keep(std::exchange(connection, nullptr), Common::Now());
-    m_channel.Finish(this, std::move(m_answer));
+    m_channel.Finish(this, std::move(m_response));
   }
-  void OnAnswerBroken(Breakage breakage) override
+  void OnExchangeFailed(ExchangeError error) override
   {
     connection = nullptr;
-    m_channel.Finish(this, Common::Failure{KindOf(breakage), "the connection broke"});
+    m_channel.Finish(this, Common::Failure{ToFailureKind(error),
+                                           "the exchange failed before the response was complete"});
   }
 
   Callback callback;
   std::shared_ptr<OriginConnection> connection;
 
 private:
-  void Watch(Common::Milliseconds time)
+  void StartTimer(Common::Milliseconds delay)
   {
-    m_timer.Start(time, [this] {
+    m_timer.Start(delay, [this] {
       OnTimer();
     });
   }
 
-  /// Looks at the time of the last byte only here: a timer set anew for each piece would cost more.
+  /// Checks the time of the last byte only here: restarting the timer for each read would cost
+  /// more.
   void OnTimer()
   {
-    const auto silence = Silence();
-    if (silence && *silence < m_patience.within_body)
-      Watch(m_patience.within_body - *silence);
+    const auto elapsed = TimeSinceLastBytes();
+    if (elapsed && *elapsed < m_timeouts.stall_timeout)
+      StartTimer(m_timeouts.stall_timeout - *elapsed);
     else
-      GiveUp();
+      FailWithTimeout();
   }
 
-  void GiveUp()
+  void FailWithTimeout()
   {
     const bool sent = connection->HasSent();
     const auto kind = sent ? Common::FailureKind::Timeout : Common::FailureKind::NotSent;
-    m_channel.Finish(this, Common::Failure{kind, "no answer in time" + Progress()});
+    m_channel.Finish(this,
+                     Common::Failure{kind, "no complete response in time" + DescribeProgress()});
   }
 
-  /// Since the last byte of the answer; nothing where none has come.
-  std::optional<Common::Milliseconds> Silence() const
+  /// Time since the last byte of the response, or nullopt where none has been received.
+  std::optional<Common::Milliseconds> TimeSinceLastBytes() const
   {
-    if (!m_heard_at)
+    if (!m_last_bytes_at)
       return std::nullopt;
-    return std::chrono::floor<Common::Milliseconds>(Common::Now() - *m_heard_at);
+    return std::chrono::floor<Common::Milliseconds>(Common::Now() - *m_last_bytes_at);
   }
 
-  /// How far the answer had come: tells a peer that is silent from one whose answer takes long.
-  std::string Progress() const
+  /// Describes the response so far, to distinguish an unresponsive peer from a long response.
+  std::string DescribeProgress() const
   {
-    const auto silence = Silence();
-    if (!silence)
-      return ", nothing came";
-    return ", " + std::to_string(m_answer.body.size()) + " bytes came, the last " +
-           std::to_string(silence->count()) + " ms ago";
+    const auto elapsed = TimeSinceLastBytes();
+    if (!elapsed)
+      return ", no bytes received";
+    return ", " + std::to_string(m_response.body.size()) + " body bytes received, the last " +
+           std::to_string(elapsed->count()) + " ms ago";
   }
 
   Channel& m_channel;
-  Patience m_patience;
+  CallTimeouts m_timeouts;
   Common::OwnedTimer m_timer;
-  WholeAnswer m_answer;
-  std::optional<Common::TimePoint> m_heard_at; ///< When bytes of the answer came last.
+  CompleteResponse m_response;
+  std::optional<Common::TimePoint> m_last_bytes_at; ///< Last receipt of response bytes.
 };
 
-Channel::Channel(const Endpoint& peer, const KernelLimits& limits)
-    : m_peer(peer), m_limits(limits), m_idle(MAX_IDLE)
+Channel::Channel(const Endpoint& peer, const SocketOptions& options)
+    : m_peer(peer), m_socket_options(options), m_idle(MAX_IDLE)
 {
 }
 
 Channel::~Channel() = default;
 
-void Channel::Call(const WholeRequest& request, const Patience& patience, Callback callback,
-                   Common::TimePoint before)
+void Channel::Call(const CompleteRequest& request, const CallTimeouts& timeouts, Callback callback,
+                   Common::TimePoint send_deadline)
 {
   auto connection = m_idle.Take(Common::Now());
   if (!connection)
-    connection = OriginConnection::Connect(m_peer, m_limits);
+    connection = OriginConnection::Connect(m_peer, m_socket_options);
   if (!connection)
   {
     Common::Reactor::Get().After(Common::Milliseconds(1), [callback = std::move(callback)] {
-      callback(Common::Failure{Common::FailureKind::NotSent, "no socket left"});
+      callback(Common::Failure{Common::FailureKind::NotSent, "could not open a socket"});
     });
     return;
   }
-  m_pending.push_back(std::make_unique<PendingCall>(*this, patience, std::move(callback)));
+  m_pending.push_back(std::make_unique<PendingCall>(*this, timeouts, std::move(callback)));
   PendingCall* call = m_pending.back().get();
   call->connection = connection;
-  connection->Send(Serialise(request, m_peer), call, false, before);
+  connection->Send(SerializeRequest(request, m_peer), call, false, send_deadline);
 }
 
 void Channel::Abandon()
@@ -178,14 +181,14 @@
   m_pending.clear();
 }
 
-void Channel::Finish(PendingCall* call, Common::Result<WholeAnswer> result)
+void Channel::Finish(PendingCall* call, Common::Result<CompleteResponse> result)
 {
   const auto found = std::ranges::find_if(m_pending, [&](const auto& pending) {
     return pending.get() == call;
   });
   const std::unique_ptr<PendingCall> owned = std::move(*found);
   m_pending.erase(found);
-  // The callback may destroy this channel: nothing of it is touched afterwards.
+  // The callback may destroy this channel, so no member may be used after it.
   const Callback callback = std::move(owned->callback);
   callback(std::move(result));
 }
--- a/Source/Core/Http/Server.cpp
+++ b/Source/Core/Http/Server.cpp
@@ -17,10 +17,10 @@
 using Common::FailureKind;
 using Common::Task;
 
-/// What may wait in memory for one slow reader before its producer is held back.
+/// Maximum unsent bytes of one response; beyond it `Write` waits for the reader.
 constexpr std::size_t MAX_UNSENT_BYTES = 64 * 1024;
 constexpr int STATUS_TOO_LARGE = 413;
-/// GLib's default of 10 resets connections in a burst of first requests.
+/// With GLib's default of 10, connections are reset in a burst of first requests.
 constexpr int LISTEN_BACKLOG = 1024;
 constexpr int STATUS_UNAVAILABLE = 503;
 
@@ -74,9 +74,9 @@
   void Respond(int status, const std::string& content_type, std::string body,
                const Headers& headers) override
   {
-    if (m_closed || m_answered)
+    if (m_closed || m_responded)
       return;
-    m_answered = true;
+    m_responded = true;
     SetHead(status, headers);
     soup_server_message_set_response(m_message.Get(), content_type.c_str(), SOUP_MEMORY_COPY,
                                      body.data(), body.size());
@@ -85,9 +85,9 @@
 
   void StartStream(int status, const std::string& content_type, const Headers& headers) override
   {
-    if (m_closed || m_answered)
+    if (m_closed || m_responded)
       return;
-    m_answered = true;
+    m_responded = true;
     SetHead(status, headers);
     SoupMessageHeaders* response = soup_server_message_get_response_headers(m_message.Get());
     soup_message_headers_set_content_type(response, content_type.c_str(), nullptr);
@@ -108,8 +108,8 @@
     soup_server_message_unpause(m_message.Get());
     while (m_unsent > MAX_UNSENT_BYTES && !m_closed)
     {
-      m_room = Common::Completion<bool>();
-      co_await m_room.WaitUntil(Common::Now() + std::chrono::hours(1));
+      m_writable = Common::Completion<bool>();
+      co_await m_writable.WaitUntil(Common::Now() + std::chrono::hours(1));
     }
     co_return !m_closed;
   }
@@ -167,7 +167,7 @@
   {
     m_unsent -= std::min(size, m_unsent);
     if (m_unsent <= MAX_UNSENT_BYTES / 2)
-      m_room.Set(true);
+      m_writable.Set(true);
   }
 
   void Finish()
@@ -175,7 +175,7 @@
     g_signal_handlers_disconnect_by_data(m_message.Get(), this);
     m_closed = true;
     --*m_open_exchanges;
-    m_room.Set(false);
+    m_writable.Set(false);
     const auto self = std::move(m_self);
     if (auto callback = std::exchange(m_on_closed, nullptr))
       callback();
@@ -189,9 +189,9 @@
   std::shared_ptr<SoupExchange> m_self;
   std::size_t* m_open_exchanges = nullptr;
   std::function<void()> m_on_closed;
-  Common::Completion<bool> m_room;
+  Common::Completion<bool> m_writable;
   std::size_t m_unsent = 0;
-  bool m_answered = false;
+  bool m_responded = false;
   bool m_closed = false;
 };
 } // namespace
@@ -212,21 +212,22 @@
   GRef<SoupServer> soup{SOUP_SERVER(g_object_new(SOUP_TYPE_SERVER, nullptr))};
   Limits limits;
   std::size_t open_exchanges = 0;
-  /// A deque keeps the handlers where libsoup's callbacks point to.
+  /// A deque, since libsoup's callbacks hold pointers to the handlers.
   std::deque<Handler> handlers;
 
   void Refuse(SoupServerMessage* message, int status, const char* reason)
   {
     const std::string body = std::string(R"({"error":{"type":")") + reason +
                              R"(","ran":"not_run","message":"refused before it was read"}})";
-    // A client that does not wait for the answer sends its body all the same: it is not stored.
+    // A client may send its body without waiting for the response; the body is then not stored.
     soup_message_body_set_accumulate(soup_server_message_get_request_body(message), FALSE);
     soup_server_message_set_status(message, static_cast<guint>(status), nullptr);
     soup_server_message_set_response(message, "application/json", SOUP_MEMORY_COPY, body.data(),
                                      body.size());
   }
 
-  /// Runs before the body is read: an oversized or surplus request is refused without storing it.
+  /// Runs before the body is read, so that a request that is too large or exceeds the number of
+  /// open requests is refused without storing its body.
   void RefuseEarly(SoupServerMessage* message)
   {
     SoupMessageHeaders* headers = soup_server_message_get_request_headers(message);
@@ -241,20 +242,20 @@
 
   void LimitChunkedBody(SoupServerMessage* message)
   {
-    auto* left = new std::size_t(limits.max_body_bytes);
-    g_object_set_data_full(G_OBJECT(message), "drumpond-left", left, [](gpointer data) {
+    auto* remaining = new std::size_t(limits.max_body_bytes);
+    g_object_set_data_full(G_OBJECT(message), "drumpond-left", remaining, [](gpointer data) {
       delete static_cast<std::size_t*>(data);
     });
     g_signal_connect(message, "got-chunk",
                      G_CALLBACK(+[](SoupServerMessage* got, GBytes* chunk, gpointer data) {
-                       auto* room = static_cast<std::size_t*>(data);
+                       auto* remaining_bytes = static_cast<std::size_t*>(data);
                        const std::size_t size = g_bytes_get_size(chunk);
-                       if (size <= *room)
-                         *room -= size;
+                       if (size <= *remaining_bytes)
+                         *remaining_bytes -= size;
                        else if (GSocket* socket = soup_server_message_get_socket(got))
                          g_socket_shutdown(socket, TRUE, TRUE, nullptr);
                      }),
-                     left);
+                     remaining);
   }
 };
 
@@ -272,19 +273,20 @@
     Impl* impl;
     Handler* handler;
   };
-  // libsoup looks for an early handler only at the path whose handler serves the request.
+  // libsoup calls an early handler only if it is registered at the path of the handler that serves
+  // the request.
   soup_server_add_early_handler(
       m_impl->soup.Get(), prefix.c_str(),
       [](SoupServer*, SoupServerMessage* message, const char*, GHashTable*, gpointer data) {
         static_cast<Impl*>(data)->RefuseEarly(message);
       },
       m_impl.get(), nullptr);
-  Handler& kept = m_impl->handlers.emplace_back(std::move(handler));
-  auto* entry = new Entry{m_impl.get(), &kept};
+  Handler& stored_handler = m_impl->handlers.emplace_back(std::move(handler));
+  auto* entry = new Entry{m_impl.get(), &stored_handler};
   soup_server_add_handler(
       m_impl->soup.Get(), prefix.c_str(),
       [](SoupServer*, SoupServerMessage* message, const char* path, GHashTable*, gpointer data) {
-        // Refused before its body came.
+        // Already refused by the early handler.
         if (soup_server_message_get_status(message) != 0)
           return;
         auto* found = static_cast<Entry*>(data);
--- a/Source/StandIns/Soak/Main.cpp
+++ b/Source/StandIns/Soak/Main.cpp
@@ -63,7 +63,7 @@
 constexpr int ROUTES_PER_CHANGE = 700;
 constexpr int STATUS_OK = 200;
 constexpr double MS_PER_S = 1000;
-constexpr Http::Patience CALLER_TIMEOUTS{Milliseconds(6000), Milliseconds(6000)};
+constexpr Http::CallTimeouts CALLER_TIMEOUTS{Milliseconds(6000), Milliseconds(6000)};
 /// Minimum percentage of requests that are served after the faults.
 constexpr std::int64_t MIN_SERVED_PERCENT = 95;
 
@@ -290,7 +290,7 @@
     const auto type = static_cast<RequestType>(Draw(4));
     static const char* const PATHS[] = {"/plain/x", "/once/x", "/stream/x", "/one/x"};
     const std::string id = "r" + std::to_string(++m_request_count);
-    Http::WholeRequest request{"POST",
+    Http::CompleteRequest request{"POST",
                                PATHS[static_cast<int>(type)],
                                {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
                                "body"};
@@ -300,7 +300,7 @@
            "m" + std::to_string(std::min(Draw(m_requested_models), Draw(m_requested_models)))});
     m_checker.RecordSent(id, type, daemon.name);
     daemon.caller_channel->Call(request, CALLER_TIMEOUTS,
-                                [this, id](Common::Result<Http::WholeAnswer> response) {
+                                [this, id](Common::Result<Http::CompleteResponse> response) {
                                   if (response)
                                     m_checker.RecordResponse(id, response->status, response->body);
                                   else
@@ -318,7 +318,7 @@
     const auto number = Draw(static_cast<std::uint64_t>(m_crashing_request_count));
     const std::string id = "c" + std::to_string(++m_request_count);
     const bool is_plain = number == 0;
-    Http::WholeRequest request{
+    Http::CompleteRequest request{
         "POST",
         is_plain ? "/plain/x" : "/stream/x",
         {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
@@ -541,14 +541,14 @@
     for (DaemonProcess& daemon : m_daemons)
     {
       const std::string id = std::string("newest-").append(daemon.name);
-      const Http::WholeRequest request{
+      const Http::CompleteRequest request{
           "POST",
           m_newest_path,
           {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "2000"}},
           "body"};
       m_checker.RecordSent(id, RequestType::Repeatable, daemon.name);
       daemon.caller_channel->Call(
-          request, CALLER_TIMEOUTS, [this, id](Common::Result<Http::WholeAnswer> response) {
+          request, CALLER_TIMEOUTS, [this, id](Common::Result<Http::CompleteResponse> response) {
             const int status = response ? response->status : 0;
             m_checker.RecordResponse(id, status, response ? response->body : "");
             if (status != STATUS_OK)
--- a/Source/StandIns/Soak/StandInServer.cpp
+++ b/Source/StandIns/Soak/StandInServer.cpp
@@ -107,7 +107,7 @@
   SetRateLimit(std::nullopt);
   const auto connections = m_connections;
   for (const auto& [key, connection] : connections)
-    connection->BreakAnswer();
+    connection->AbortResponse();
 }
 
 void StandInServer::Drain()
@@ -246,7 +246,7 @@
   }
   After(PLAIN_REQUEST_TIME, [this, connection, id] {
     if (m_fault == ServerFault::ResetConnections && Common::SharedRandom()() % 3 == 0)
-      connection->BreakAnswer();
+      connection->AbortResponse();
     else
     {
       RecordAnnouncement(id);
@@ -269,7 +269,7 @@
   if (m_fault == ServerFault::ResetConnections && Common::SharedRandom()() % RESET_ONE_IN == 0)
   {
     connection->SendChunk(text.substr(0, text.size() / 2));
-    connection->BreakAnswer();
+    connection->AbortResponse();
     return;
   }
   connection->SendChunk(text);
--- a/Source/StandIns/Soak/StandInStore.cpp
+++ b/Source/StandIns/Soak/StandInStore.cpp
@@ -201,7 +201,7 @@
   const bool loses_response =
       m_fault == StoreFault::LoseResponses && Common::SharedRandom()() % LOSE_ONE_IN == 0;
   if (loses_response)
-    connection->BreakAnswer();
+    connection->AbortResponse();
   else
     RespondWithVersion(connection, 200, Json::object());
 }
