--- a/Source/StandIns/Soak/Main.cpp
+++ b/Source/StandIns/Soak/Main.cpp
@@ -291,9 +291,9 @@
     static const char* const PATHS[] = {"/plain/x", "/once/x", "/stream/x", "/one/x"};
     const std::string id = "r" + std::to_string(++m_request_count);
     Http::CompleteRequest request{"POST",
-                               PATHS[static_cast<int>(type)],
-                               {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
-                               "body"};
+                                  PATHS[static_cast<int>(type)],
+                                  {{"Host", "h"}, {"Attempt-Id", id}, {"Time-Left-Ms", "4000"}},
+                                  "body"};
     if (type == RequestType::ResumableStream || type == RequestType::NonRepeatableStream)
       request.headers.push_back(
           {"Model",
--- a/Source/UnitTests/Fuzz.cpp
+++ b/Source/UnitTests/Fuzz.cpp
@@ -235,8 +235,7 @@
   {
     const bool ok = RunsWithoutException(target, rounds);
     ++(ok ? passed : failed);
-    std::cout << (ok ? "pass" : "FAIL") << " fuzz " << target.name << ": " << rounds
-              << " inputs\n";
+    std::cout << (ok ? "pass" : "FAIL") << " fuzz " << target.name << ": " << rounds << " inputs\n";
   }
   std::cout << passed << " passed, " << failed << " failed\n";
   return failed;
