--- a/Source/Core/Crashes/CrashLedger.h
+++ b/Source/Core/Crashes/CrashLedger.h
@@ -53,8 +53,8 @@
   /// Crashes within this time after a successful completion do not count. This also delays the
   /// detection of a request that starts to crash servers after a release by as many seconds.
   static constexpr Common::Milliseconds SUCCESS_GRACE{15000};
-  /// Duration of the first block. Each later one is twice as long, up to the longest. A fixed
-  /// engine serves the request again after the block expires.
+  /// Duration of the first block. Each later one is twice as long, up to the longest. Blocks
+  /// expire because a server whose fault has been fixed can serve the request again.
   static constexpr Common::Milliseconds FIRST_BLOCK{std::chrono::minutes(10)};
   static constexpr Common::Milliseconds MAX_BLOCK{std::chrono::hours(6)};
   /// A case is removed this long after its last change or the end of its block.
@@ -143,7 +143,7 @@
   static CaseLine ToCaseLine(const Fingerprint& request, const Case& entry, Common::TimePoint now);
   static bool IsSharedWithAll(const Case& entry);
   using ByRevision = std::map<std::uint64_t, std::pair<const Fingerprint*, const Case*>>;
-  /// Adds the cases in `changed` to `news` in the order of their revisions, up to `max_bytes`.
+  /// Adds the cases in `changed` to `update` in the order of their revisions, up to `max_bytes`.
   static void FillUpdate(CaseUpdate& update, const ByRevision& changed, std::size_t max_bytes,
                          Common::TimePoint now);
 
--- a/Source/Core/Decisions/Reconcile.cpp
+++ b/Source/Core/Decisions/Reconcile.cpp
@@ -19,11 +19,11 @@
     return ReconcileAction::Keep;
   if (input.engine_checks_fencing)
     return input.fence_raised ? ReconcileAction::Free : ReconcileAction::RaiseFence;
-  // An engine that ignores fencing numbers executes a late order at any time, so the claim is kept
+  // A server that ignores fencing numbers executes a late order at any time, so the claim is kept
   // for as long as the holder may still send it.
   if (input.order == OrderStatus::HolderUnresponsive)
     return ReconcileAction::Keep;
-  // The order was sent on a connection to the previous engine process and ended with it.
+  // The order was sent on a connection to the previous server process and was lost with it.
   if (input.order == OrderStatus::Unknown && !input.same_instance)
     return ReconcileAction::Free;
   return input.settled ? ReconcileAction::Free : ReconcileAction::Keep;
--- a/Source/Core/Decisions/Reconcile.h
+++ b/Source/Core/Decisions/Reconcile.h
@@ -15,7 +15,7 @@
   Unloading, ///< Unload orders may be sent; no new requests are routed to it.
 };
 
-/// The state of the claim's artifact in the engine's report.
+/// The state of the claim's artifact in the server's report.
 enum class ReportedState
 {
   Unknown, ///< No current report.
@@ -40,7 +40,7 @@
 {
   Keep,       ///< Keep counting its slot and memory as used.
   MarkLoaded, ///< The order was received and has completed.
-  RaiseFence, ///< Make the engine refuse the order if it arrives later, then re-evaluate.
+  RaiseFence, ///< Make the server reject the order if it arrives later, then re-evaluate.
   Free,       ///< The order can no longer take effect: release slot and memory.
   SendUnload, ///< Send the unload order again.
 };
@@ -51,11 +51,11 @@
   ReportedState reported = ReportedState::Unknown;
   OrderStatus order = OrderStatus::InProgress;
   bool engine_checks_fencing = false;
-  /// The engine is still the instance that the claim was made for.
+  /// The server is still the instance that the claim was made for.
   bool same_instance = true;
-  /// The current instance of the engine has confirmed a fencing number above the claim's.
+  /// The current instance of the server has confirmed a fencing number above the claim's.
   bool fence_raised = false;
-  /// All reports of the engine lacked the artifact during the whole settling time, which starts at
+  /// All reports of the server lacked the artifact during the whole settling time, which starts at
   /// the last moment the order could have been sent: any order in transit has been read by now.
   bool settled = false;
 };
--- a/Source/Core/Decisions/ReplicaPlan.cpp
+++ b/Source/Core/Decisions/ReplicaPlan.cpp
@@ -140,7 +140,7 @@
     return under_replicated;
   }
 
-  /// How long requests have waited for the model. Not reset by callers that leave or are refused.
+  /// How long requests have waited for the model. Not reset if callers disconnect or are refused.
   static Milliseconds WaitTime(const PlannedModel& model)
   {
     return std::max(model.oldest_wait, model.unserved_for);
--- a/Source/Core/Decisions/Routing.h
+++ b/Source/Core/Decisions/Routing.h
@@ -19,7 +19,7 @@
 {
   Common::VmId server;
   bool local = true;
-  std::int64_t reported_running = 0; ///< From the last report of the engine; it lags.
+  std::int64_t reported_running = 0; ///< From the server's last report; may be outdated.
   std::int64_t own_running = 0;      ///< Running requests of this daemon; exact.
   std::int64_t limit = 0;            ///< Maximum concurrent requests of this daemon.
 };
@@ -35,8 +35,9 @@
 };
 
 /// Prefers the replica that rendezvous hashing selects for the prompt prefix, since its prefix
-/// cache may contain it, unless that replica is much busier than the least busy one. Engine reports
-/// lag, so the load is the larger of the reported requests and of this daemon's own requests.
+/// cache may contain it, unless that replica is much busier than the least busy one. Server
+/// reports may be outdated, so the load is the larger of the reported requests and of this daemon's
+/// own requests.
 class AffinityRouting
 {
 public:
--- a/Source/Core/Decisions/UnservedDemand.h
+++ b/Source/Core/Decisions/UnservedDemand.h
@@ -13,8 +13,9 @@
 /// Tracks for how long a model has been in demand without being loaded on any server, over all its
 /// requests.
 ///
-/// The age of the oldest request does not show this, since it restarts when a caller leaves, is
-/// refused or retries: with callers that leave after 1.7 s, a threshold of 5.5 s is never reached.
+/// The age of the oldest request does not show this, since it restarts when a caller
+/// disconnects, is refused or retries: with callers that disconnect after 1.7 s, a threshold of
+/// 5.5 s is never reached.
 class UnservedDemand
 {
 public:
--- a/Source/Core/Decisions/WaitForLoad.h
+++ b/Source/Core/Decisions/WaitForLoad.h
@@ -17,20 +17,20 @@
   Common::Milliseconds until_deadline{0};
   /// How long the caller waits without receiving any data.
   Common::Milliseconds patience{0};
-  /// Where the nearest copy of the weights is; nullopt if unknown.
+  /// The fastest source of the weights on any server; nullopt if unknown.
   std::optional<WeightSource> nearest;
   Common::Milliseconds from_store{0}; ///< Duration of a load from the weight store.
-  bool load_in_progress = false;      ///< Such a load is in progress; its progress is unknown.
+  bool load_in_progress = false;      ///< Such a load has begun; the time left is unknown.
 };
 
 /// Returns the time until the model can be loaded if the request cannot wait that long; the request
 /// is then refused now and should be retried after that time. Returns nullopt if it may wait.
 ///
-/// Guards against this load: many rarely requested models, most of them on no disk, and a weight
-/// store that delivers two in 13 s. Requests that could not be served were held for 5.6 s before
-/// they were refused. The time limit is the earlier of the caller's deadline and the time at which
-/// it leaves. A load from disk never causes a refusal, since the time until a server has room for
-/// it is unknown.
+/// Guards against this load pattern: many rarely requested models, most of them on no disk, and a
+/// weight store that delivers two in 13 s. Requests that could not be served were held for 5.6 s
+/// before they were refused. The time limit is the earlier of the caller's deadline and the time at
+/// which it disconnects. A load from disk never causes a refusal, since the time until a server has
+/// room for it is unknown.
 inline std::optional<Common::Milliseconds> RetryAfterIfRefused(const WaitForLoadInput& input)
 {
   const bool only_in_store = input.nearest == WeightSource::WeightStore && !input.load_in_progress;
--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -26,7 +26,7 @@
 constexpr std::size_t MAX_ACCOUNT_SERIES = 20;
 /// How often requests that wait for units of their account's limit are retried.
 constexpr Milliseconds ALLOWANCE_RETRY_INTERVAL{50};
-/// Concurrent requests per slot of a server without a model engine: some queue at the server, so
+/// Concurrent requests per slot of a server that runs no models: some queue at the server, so
 /// that a slot that becomes free is used immediately.
 constexpr int PLAIN_SLOTS_FACTOR = 2;
 
--- a/Source/Core/Gateway/Dispatcher.h
+++ b/Source/Core/Gateway/Dispatcher.h
@@ -114,7 +114,7 @@
   void OnPermitDemand(std::function<void()> callback) { m_on_permit_demand = std::move(callback); }
   /// The permits that the waiting requests need, by server.
   std::vector<RateLimits::PermitDemand> PermitDemands();
-  /// Applies the lease holder's answer: for each server, how many requests of other daemons are
+  /// Applies the lease holder's reply: for each server, how many requests of other daemons are
   /// queued ahead. Permits may have arrived with it.
   void ApplyQueuePositions(const std::vector<RateLimits::PositionLine>& places);
   /// Requests that crash the servers that run them.
@@ -129,7 +129,8 @@
   void RefreshGauges();
 
   /// Called when the demand that this daemon reports has changed: requests wait for a server or for
-  /// units of an account's limit, a refused caller is expected back, or crash or drain data is new.
+  /// units of an account's limit, a refused caller is expected to retry, or crash or drain data is
+  /// new.
   void OnDemand(std::function<void()> callback) { m_on_demand = std::move(callback); }
   /// The current demand by artifact; resets the count of arrivals.
   std::vector<ArtifactDemand> TakeDemand();
@@ -155,7 +156,7 @@
   /// The refusal for a request that cannot be served before its caller disconnects: no server holds
   /// its model and the weights would load too late, or all servers that hold it have a limit with
   /// too long a queue or a Retry-After that lasts too long.
-  /// No value if the request may wait, for `longest_wait` at most.
+  /// Returns nullopt if the request may wait, for `longest_wait` at most.
   std::optional<EarlyRefusal> CheckEarlyRefusal(const Relay& relay, Common::Milliseconds patience,
                                                 Common::Milliseconds longest_wait);
   /// Counts a refused request as a waiting one for `span`, after which its caller should retry, so
@@ -202,7 +203,7 @@
   /// True if the request may be sent to the server now, leaving the server's rate limit aside.
   bool IsEligible(const Relay& relay, const Server& server, Common::TimePoint now) const;
   /// `holders`: all servers that hold the model; each has a limit or a Retry-After in force.
-  /// `nearest`: the nearest copy of the weights from which another server could load the model.
+  /// `nearest`: the fastest source from which another server could load the weights.
   std::optional<EarlyRefusal> CheckExpectedWait(const std::vector<ServerPtr>& holders,
                                                 bool is_coming,
                                                 std::optional<Decisions::WeightSource> nearest,
@@ -211,8 +212,8 @@
   Common::Milliseconds ExpectedWait(const Server& server, Common::TimePoint now) const;
   /// True if the request is new and a waiting request for the same artifact ranks before it.
   bool WouldOvertake(const Relay& relay) const;
-  /// Records that a request went elsewhere although the server could have served it but for its
-  /// limit.
+  /// Records that a request was sent to another server, and that this one could have served it but
+  /// for its limit.
   void RecordBypass(const Server& server, Common::TimePoint now);
   /// Servers with a limit that this daemon could probe, by sending them a request that another
   /// server could take as well.
@@ -272,7 +273,7 @@
   std::map<std::pair<PoolId, Artifact>, ExpectedRetry> m_expected_retries;
   std::function<void()> m_on_demand;
   std::function<void()> m_on_permit_demand;
-  /// When a request that the rate-limited server could have served last went elsewhere.
+  /// When a request that the rate-limited server could have served was last sent to another one.
   std::map<RateLimits::ServerKey, Common::TimePoint> m_bypassed_at;
   DispatcherCounters m_counters;
   Common::Metrics m_metrics;
--- a/Source/Core/Gateway/DispatcherLimits.cpp
+++ b/Source/Core/Gateway/DispatcherLimits.cpp
@@ -19,8 +19,8 @@
 {
 using Common::Milliseconds;
 
-/// A rate-limited server may be probed for this long after a request that it could have served went
-/// elsewhere.
+/// A rate-limited server may be probed for this long after a request that it could have served was
+/// sent to another server.
 constexpr Milliseconds BYPASS_WINDOW{1000};
 /// The most servers that one daemon offers to probe at once.
 constexpr std::size_t MAX_PROBES = 8;
--- a/Source/Core/Gateway/LimitedServers.h
+++ b/Source/Core/Gateway/LimitedServers.h
@@ -61,7 +61,7 @@
   /// How long the caller of a request that is refused now should wait before it retries. Each call
   /// returns a later time than the one before, so that the retries are spread out.
   Common::Milliseconds RetryDelay(const Server& server, Common::TimePoint now);
-  /// Applies the lease holder's answer: how many requests are queued ahead of this daemon's.
+  /// Applies the lease holder's reply: how many requests are queued ahead of this daemon's.
   void SetQueuePositions(const std::vector<RateLimits::PositionLine>& lines, Common::TimePoint now);
   /// Sets how many requests of this daemon wait for permits, by server.
   void SetLocalWaiting(std::map<RateLimits::ServerKey, std::uint32_t> waiting)
--- a/Source/Core/Gateway/Relay.cpp
+++ b/Source/Core/Gateway/Relay.cpp
@@ -22,9 +22,9 @@
 
 /// The least urgent value that backend servers accept in the urgency header.
 constexpr int MAX_URGENCY = 9;
-/// A caller disconnects from a stream that is silent for the longest of: a fixed time, a multiple
-/// of the latency target, a multiple of the gap target. The figures are those of the platform's
-/// documentation of requests.
+/// A caller disconnects from a stream on which it receives nothing for the longest of: a fixed
+/// time, a multiple of the latency target, a multiple of the gap target. The values are those in
+/// the platform's documentation of requests.
 constexpr Milliseconds CALLER_PATIENCE{2000};
 constexpr int CALLER_PATIENCE_LATENCY_TARGETS = 4;
 constexpr int CALLER_PATIENCE_GAP_TARGETS = 8;
@@ -33,8 +33,8 @@
 /// A streaming request that has no response after this many latency targets is retried at another
 /// server if it is repeatable. For other requests it is one latency target.
 constexpr double SILENCE_LATENCY_TARGETS = 2.5;
-/// A server that the platform no longer lists may still finish its work; if it has also been silent
-/// for this long, it is considered dead.
+/// A server that the platform no longer lists may still finish its work; if it also sends nothing
+/// for this long, it is considered to have failed.
 constexpr Milliseconds UNLISTED_SERVER_TIMEOUT{1900};
 /// Retry-After of a refused request whose model no server holds (a load from disk takes about a
 /// second), and of other refused requests.
--- a/Source/Core/Gateway/Relay.h
+++ b/Source/Core/Gateway/Relay.h
@@ -110,7 +110,7 @@
   void OnAnswerBroken(Http::Breakage breakage) override;
 
 private:
-  /// Shorter pauses of a stream are never treated as silence, whatever the targets of its route.
+  /// Lower bound for the stall timeout of a stream, whatever the targets of its route.
   static constexpr Common::Milliseconds MIN_STREAM_SILENCE{1000};
 
   /// Identifies the caller's account; false if the request has ended.
--- a/Source/Core/Gateway/RelayWaiting.cpp
+++ b/Source/Core/Gateway/RelayWaiting.cpp
@@ -17,7 +17,7 @@
 {
 using Common::Milliseconds;
 
-/// The share of the caller's patience that a request may wait for a server, so that a refusal
+/// The share of the caller's idle timeout that a request may wait for a server, so that a refusal
 /// arrives before the caller disconnects.
 constexpr double WAIT_SHARE_OF_PATIENCE = 0.7;
 /// The share of the time until its deadline that a request may wait for a server. More than half of
--- a/Source/Core/Gateway/ServerDirectory.h
+++ b/Source/Core/Gateway/ServerDirectory.h
@@ -86,7 +86,7 @@
   void ReturnConnection(std::shared_ptr<Http::OriginConnection> connection);
 
   void NoteStart(const Artifact& artifact, Common::TimePoint now);
-  /// Records the end of a request. If the server is silent when its last request ends, it is
+  /// Records the end of a request. If the server is unresponsive when its last request ends, it is
   /// ejected, since the next request sent to it would be lost too.
   void NoteEnd(const Artifact& artifact, Common::TimePoint sent_at, Common::TimePoint now);
   /// Records that data was received from the server.
--- a/Source/Core/Gateway/SilenceDetector.cpp
+++ b/Source/Core/Gateway/SilenceDetector.cpp
@@ -23,8 +23,9 @@
 constexpr Milliseconds MIN_LIMIT{300};
 /// A server with longer pauses cannot meet any request's deadline.
 constexpr Milliseconds MAX_LIMIT{1500};
-/// Number of requests without a response before a server is considered silent. With one, plain
-/// servers were ejected about once a second for requests that they leave unanswered.
+/// Number of requests without a response before a server is considered unresponsive. With one,
+/// servers that run no models were ejected about once a second for requests to which they send no
+/// response.
 constexpr int MIN_UNANSWERED_REQUESTS = 2;
 } // namespace
 
--- a/Source/Core/Gateway/SilenceDetector.h
+++ b/Source/Core/Gateway/SilenceDetector.h
@@ -13,9 +13,9 @@
 /// adapts to the pauses observed so far, as a TCP retransmission timeout adapts to round-trip
 /// times: the mean plus four mean deviations (the estimator of RFC 6298). Without it, every
 /// non-idempotent request sent to a server behind a network partition would be lost. In 36 paired
-/// runs of days with partitions and with unreachable and hanging servers, 0.7 +- 0.2 of 100 fewer
-/// requests stayed unserved. That figure includes the connection time limit, the precedence of the
-/// last lease holder and the batching of changes.
+/// runs of days with partitions and with unreachable and hanging servers, it lowered the number of
+/// unserved requests by 0.7 +- 0.2 per 100. That figure includes the effect of the connection time
+/// limit, the precedence of the last lease holder and the batching of changes.
 class SilenceDetector
 {
 public:
@@ -26,10 +26,11 @@
   /// Records that a request ended and that `open` requests are still in flight.
   void NoteEnded(int open);
 
-  /// True if the server has been silent for longer than the limit and has more than one request
-  /// without a response. A single request may be answered late, or never, for reasons of its own.
+  /// True if the server has sent nothing for longer than the limit and has more than one request
+  /// without a response. The response to a single request may be late or missing for reasons
+  /// specific to that request.
   bool IsSilent(Common::TimePoint now) const;
-  /// The pause after which the server is considered silent.
+  /// The pause after which the server is considered unresponsive.
   Common::Milliseconds Limit() const;
 
 private:
--- a/Source/Core/Gateway/Types.h
+++ b/Source/Core/Gateway/Types.h
@@ -140,7 +140,7 @@
   double adapter_mb = 0;
 };
 
-/// Properties shared by all model engines of a pool.
+/// Properties shared by all servers of a pool that run models.
 struct EngineSpec
 {
   int batch = 1;               ///< Concurrent requests per server.
@@ -157,7 +157,7 @@
   int max_connections = 0; ///< Accepted by one server from all callers together.
   std::optional<EngineSpec> engine;
 
-  /// Returns nullptr if the pool has no engine or the engine does not support the model.
+  /// Returns nullptr if the servers of the pool run no models or do not support this one.
   const ModelSpec* FindModel(const ModelId& model) const;
 };
 
--- a/Source/Core/RateLimits/LocalPermits.cpp
+++ b/Source/Core/RateLimits/LocalPermits.cpp
@@ -13,7 +13,8 @@
 using Common::Milliseconds;
 using Seconds = std::chrono::duration<double>;
 
-/// The holder counts as unreachable after this silence; it sends to each daemon twice in this time.
+/// The holder counts as unreachable after this time without a message; it sends to each daemon
+/// twice in this time.
 constexpr Milliseconds HOLDER_TIMEOUT{900};
 /// For this long afterwards only the standbys of the last holder send. A lease that was not
 /// released expires after about 3 s and is acquired within another second.
--- a/Source/Core/RateLimits/PermitAllocator.cpp
+++ b/Source/Core/RateLimits/PermitAllocator.cpp
@@ -21,10 +21,10 @@
 constexpr double BURST_S = 0.25;
 /// If no request waits, one request per interval probes whether the limit still applies.
 constexpr Milliseconds PROBE_INTERVAL{1000};
-/// Validity of a daemon's demand, which it repeats twice in this time. Older demand has mostly
-/// ended, and the message that said so was lost.
+/// Validity of a daemon's demand, which it sends twice in this time. Most requests behind older
+/// demand have ended, and the message about it was lost.
 constexpr Milliseconds DEMAND_VALID{400};
-/// Validity of an offer to probe, which is repeated twice in this time.
+/// Validity of an offer to probe, which is sent twice in this time.
 constexpr Milliseconds PROBE_OFFER_VALID{2500};
 /// Upper bound for the waiting time of a request.
 constexpr Milliseconds MAX_WAIT{600000};
--- a/Source/UnitTests/Decisions/ReconcileTest.cpp
+++ b/Source/UnitTests/Decisions/ReconcileTest.cpp
@@ -83,7 +83,7 @@
                    ReconcileAction::Free);
   }
 
-  /// Exhaustive over all inputs: a claim is never freed while the engine reports its artifact and
+  /// Exhaustive over all inputs: a claim is never freed while the server reports its artifact and
   /// its order may have been sent.
   void NeverFreesClaimOfReportedArtifact()
   {
--- a/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
+++ b/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
@@ -6,8 +6,8 @@
 // other models. The model needed 72,700 MB, and no single eviction on that server freed enough:
 // "model-passed-over obstacle=no_room waiting=30 oldest_wait_ms=1857 free_mb=272 needed_mb=72700".
 // A load from the weight store to another server required a request that had waited for 5.5 s, but
-// callers leave a silent stream earlier. Neither a change of the holder nor a restart of all
-// daemons helped.
+// callers disconnect from a stream without data earlier. Neither a change of the holder nor a
+// restart of all daemons helped.
 
 #include <cstddef>
 #include <numeric>
--- a/Source/UnitTests/Gateway/CallerKeysTest.cpp
+++ b/Source/UnitTests/Gateway/CallerKeysTest.cpp
@@ -69,7 +69,7 @@
   }
 };
 
-/// A server that answers every request and records the request heads.
+/// A server that responds to every request and records the request heads.
 TestServer Echo()
 {
   return TestServer([](TestPeer& peer, const std::string& head) {
@@ -249,7 +249,7 @@
   }
 
   /// Guards against a request that runs with a key that was revoked more than 5 s earlier. That
-  /// happened when a VM was cut off from the platform, or frozen, while an operator revoked the
+  /// happened when a VM was cut off from the platform, or suspended, while an operator revoked the
   /// key: nothing bounded how long a daemon used a configuration that it could not verify.
   void WithoutAProofKeysAreRefusedAtOnceAndOpenRoutesServed()
   {
--- a/Source/UnitTests/Gateway/RelayTest.cpp
+++ b/Source/UnitTests/Gateway/RelayTest.cpp
@@ -65,8 +65,8 @@
   /// Guards against a long wait before a refusal: 352 of 438 bulk requests were refused after 5.6
   /// s, and again when they were retried. They waited for models whose weights are only in the
   /// weight store; a load takes 13.2 s, but callers disconnect after 2 to 8 s without data.
-  /// Immediate refusal raised the share of what callers are owed by 0.096 +- 0.010 (twelve pairs,
-  /// 22 servers, 1,375 models).
+  /// Immediate refusal raised the share of the service due to callers that they received by
+  /// 0.096 +- 0.010 (twelve pairs of runs, 22 servers, 1,375 models).
   void RequestIsRefusedAtOnceIfTheLoadWouldBeTooLate()
   {
     World world;
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT_EQUAL(1, world.dispatcher.TakeDemand().at(0).waiting);
   }
 
-  /// A caller disconnects from a silent stream, but waits for a complete response until its
+  /// A caller disconnects from a stream without data, but waits for a complete response until its
   /// deadline. A load of 5 s fits into a deadline of 8 s, but not into the 2 s of a stream.
   void NonStreamingRequestWaitsForASlowLoad()
   {
@@ -371,7 +371,7 @@
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(3200));
   }
 
-  /// The server restarts under its id while the network is cut, so that the stream's connection
+  /// The server restarts under its id during a network partition, so that the stream's connection
   /// hangs.
   void StreamOfARestartedServerEndsAndIsNotRetried()
   {
