--- a/Source/Benchmarks/PlanBenchmark.cpp
+++ b/Source/Benchmarks/PlanBenchmark.cpp
@@ -37,13 +37,13 @@
       : m_models(models), m_waiting_requests(waiting)
   {
     Gateway::Pool pool;
-    Gateway::EngineSpec engine;
+    Gateway::ModelServerSpec engine;
     engine.batch = 12;
     engine.memory_mb = 230000;
     for (std::size_t i = 0; i < models; ++i)
       engine.models[ModelName(i)] = {
           ModelName(i), 72700, Milliseconds(13200), Milliseconds(640), Milliseconds(470), 0, 66};
-    pool.engine = engine;
+    pool.model_server = engine;
     m_builder.Configure(pool);
     std::vector<Gateway::ServerPtr> all_servers;
     for (std::size_t i = 0; i < servers; ++i)
--- a/Source/Core/Decisions/Admission.h
+++ b/Source/Core/Decisions/Admission.h
@@ -100,16 +100,16 @@
 {
 public:
   explicit RetryBudget(double retries_per_request = 0.1, double burst = 10)
-      : m_earn(retries_per_request), m_burst(burst), m_tokens(burst)
+      : m_tokens_per_request(retries_per_request), m_burst(burst), m_tokens(burst)
   {
   }
 
-  void OnRequest() { m_tokens = std::min(m_burst, m_tokens + m_earn); }
+  void OnRequest() { m_tokens = std::min(m_burst, m_tokens + m_tokens_per_request); }
   /// Consumes one token; false if less than one is left.
   bool TrySpend();
 
 private:
-  double m_earn;
+  double m_tokens_per_request;
   double m_burst;
   double m_tokens;
 };
--- a/Source/Core/Decisions/Reconcile.cpp
+++ b/Source/Core/Decisions/Reconcile.cpp
@@ -17,7 +17,7 @@
     return ReconcileAction::Keep;
   if (input.order == OrderStatus::HolderAlive)
     return ReconcileAction::Keep;
-  if (input.engine_checks_fencing)
+  if (input.server_checks_fencing)
     return input.fence_raised ? ReconcileAction::Free : ReconcileAction::RaiseFence;
   // A server that ignores fencing numbers executes a late order at any time, so the claim is kept
   // for as long as the holder may still send it.
--- a/Source/Core/Decisions/Reconcile.h
+++ b/Source/Core/Decisions/Reconcile.h
@@ -50,7 +50,7 @@
   ClaimState claim = ClaimState::Ordered;
   ReportedState reported = ReportedState::Unknown;
   OrderStatus order = OrderStatus::InProgress;
-  bool engine_checks_fencing = false;
+  bool server_checks_fencing = false;
   /// The server is still the instance that the claim was made for.
   bool same_instance = true;
   /// The current instance of the server has confirmed a fencing number above the claim's.
--- a/Source/Core/Decisions/ReplicaPlan.cpp
+++ b/Source/Core/Decisions/ReplicaPlan.cpp
@@ -206,14 +206,14 @@
       if (!server.usable)
         continue;
       any_idle = any_idle || !(server.order_open || m_ordered[At(copy.server)]);
-      if (result.nearest && FreeMemory(server) <= result.free_mb)
+      if (result.most_free_server && FreeMemory(server) <= result.free_mb)
         continue;
-      result.nearest = copy.server;
+      result.most_free_server = copy.server;
       result.free_mb = FreeMemory(server);
     }
     if (any_idle || store_allowed)
       result.obstacle = PlanObstacle::NoRoom;
-    else if (result.nearest)
+    else if (result.most_free_server)
       result.obstacle = PlanObstacle::ServersBusy;
     return result;
   }
--- a/Source/Core/Decisions/ReplicaPlan.h
+++ b/Source/Core/Decisions/ReplicaPlan.h
@@ -119,8 +119,8 @@
   std::size_t copies = 0;     ///< Servers with a copy of the weights.
   bool store_allowed = false; ///< It could have been loaded from the weight store on any server.
   /// The usable server with a copy that has the most free memory.
-  std::optional<ServerIndex> nearest;
-  double free_mb = 0; ///< Free memory of `nearest`.
+  std::optional<ServerIndex> most_free_server;
+  double free_mb = 0; ///< Free memory of `most_free_server`.
 };
 
 struct ReplicaPlan
--- a/Source/Core/Decisions/WaitForLoad.h
+++ b/Source/Core/Decisions/WaitForLoad.h
@@ -16,7 +16,7 @@
 {
   Common::Milliseconds until_deadline{0};
   /// How long the caller waits without receiving any data.
-  Common::Milliseconds patience{0};
+  Common::Milliseconds idle_timeout{0};
   /// The fastest source of the weights on any server; nullopt if unknown.
   std::optional<WeightSource> nearest;
   Common::Milliseconds from_store{0}; ///< Duration of a load from the weight store.
@@ -34,7 +34,7 @@
 inline std::optional<Common::Milliseconds> RetryAfterIfRefused(const WaitForLoadInput& input)
 {
   const bool only_in_store = input.nearest == WeightSource::WeightStore && !input.load_in_progress;
-  if (!only_in_store || input.from_store < std::min(input.until_deadline, input.patience))
+  if (!only_in_store || input.from_store < std::min(input.until_deadline, input.idle_timeout))
     return std::nullopt;
   return input.from_store;
 }
--- a/Source/Core/Gateway/Dispatcher.cpp
+++ b/Source/Core/Gateway/Dispatcher.cpp
@@ -28,7 +28,7 @@
 constexpr Milliseconds ALLOWANCE_RETRY_INTERVAL{50};
 /// Concurrent requests per slot of a server that runs no models: some queue at the server, so
 /// that a slot that becomes free is used immediately.
-constexpr int PLAIN_SLOTS_FACTOR = 2;
+constexpr int SLOTS_FACTOR_WITHOUT_MODELS = 2;
 
 /// The sort key of waiting requests; the lowest is served first.
 auto SortKeyOf(const Relay& relay)
@@ -82,7 +82,7 @@
   ScheduleDispatch();
 }
 
-void Dispatcher::Adopt(int fd)
+void Dispatcher::AcceptConnection(int fd)
 {
   const auto connection = Http::ServerConnection::Adopt(fd, *this);
   m_connections.emplace(connection.get(), connection);
@@ -124,8 +124,8 @@
 std::int64_t Dispatcher::ConcurrencyLimitFor(const Server& server) const
 {
   const auto pool = m_configuration->pools.find(server.Entry().pool);
-  const bool has_engine = pool != m_configuration->pools.end() && pool->second.engine;
-  const int factor = has_engine ? 1 : PLAIN_SLOTS_FACTOR;
+  const bool runs_models = pool != m_configuration->pools.end() && pool->second.model_server;
+  const int factor = runs_models ? 1 : SLOTS_FACTOR_WITHOUT_MODELS;
   return server.Entry().slots * factor - server.RemoteInFlight();
 }
 
@@ -212,7 +212,8 @@
   });
 }
 
-std::optional<EarlyRefusal> Dispatcher::CheckEarlyRefusal(const Relay& relay, Milliseconds patience,
+std::optional<EarlyRefusal> Dispatcher::CheckEarlyRefusal(const Relay& relay,
+                                                          Milliseconds idle_timeout,
                                                           Milliseconds longest_wait)
 {
   const ModelId& model = relay.RequestedArtifact().model;
@@ -225,13 +226,13 @@
   const auto now = Common::Now();
   Decisions::WaitForLoadInput load;
   load.until_deadline = std::chrono::floor<Milliseconds>(relay.Deadline() - now);
-  load.patience = patience;
+  load.idle_timeout = idle_timeout;
   load.from_store = spec == nullptr ? Milliseconds(0) : spec->load_from_store;
   std::vector<ServerPtr> constrained_holders;
   std::optional<Decisions::WeightSource> nearest_unlimited;
   for (const auto& [instance, server] : m_servers.All())
   {
-    if (server->Entry().pool != relay.SelectedPool() || !server->TakesWork(now) ||
+    if (server->Entry().pool != relay.SelectedPool() || !server->AcceptsRequests(now) ||
         !relay.MaySendTo(instance))
       continue;
     const bool holds = model.Empty() || server->HoldsModel(model);
@@ -522,7 +523,7 @@
   m_metrics.SetGauge("requests_waiting", static_cast<double>(waiting));
   m_metrics.SetGauge("caller_connections", static_cast<double>(m_connections.size()));
   m_metrics.SetGauge("attempts", static_cast<double>(m_counters.attempts));
-  m_metrics.SetGauge("repeats", static_cast<double>(m_counters.repeats));
+  m_metrics.SetGauge("repeats", static_cast<double>(m_counters.retries));
   m_metrics.SetGauge("streams_resumed", static_cast<double>(m_counters.resumed));
   m_metrics.SetGauge("servers", static_cast<double>(m_servers.All().size()));
   m_metrics.SetGauge("servers_ejected", count_servers([&](const Server& server) {
--- a/Source/Core/Gateway/Dispatcher.h
+++ b/Source/Core/Gateway/Dispatcher.h
@@ -68,7 +68,7 @@
 struct DispatcherCounters
 {
   std::int64_t attempts = 0;
-  std::int64_t repeats = 0;
+  std::int64_t retries = 0;
   std::int64_t resumed = 0;
   std::int64_t sent_to_draining = 0; ///< Because no other server could take them.
   std::int64_t sent_after_drain = 0; ///< After the drain grace had run out.
@@ -116,7 +116,7 @@
   std::vector<RateLimits::PermitDemand> PermitDemands();
   /// Applies the lease holder's reply: for each server, how many requests of other daemons are
   /// queued ahead. Permits may have arrived with it.
-  void ApplyQueuePositions(const std::vector<RateLimits::PositionLine>& places);
+  void ApplyQueuePositions(const std::vector<RateLimits::PositionLine>& positions);
   /// Requests that crash the servers that run them.
   const Crashes::CrashLedger& CrashCases() const { return m_crashes; }
   /// Merges what other daemons have recorded about such requests.
@@ -135,7 +135,7 @@
   /// The current demand by artifact; resets the count of arrivals.
   std::vector<ArtifactDemand> TakeDemand();
 
-  void Adopt(int fd);
+  void AcceptConnection(int fd);
   /// From now on responses carry `Connection: close`.
   void BeginStop();
   /// Closes connections that have no open request, and refuses new requests.
@@ -157,7 +157,8 @@
   /// its model and the weights would load too late, or all servers that hold it have a limit with
   /// too long a queue or a Retry-After that lasts too long.
   /// Returns nullopt if the request may wait, for `longest_wait` at most.
-  std::optional<EarlyRefusal> CheckEarlyRefusal(const Relay& relay, Common::Milliseconds patience,
+  std::optional<EarlyRefusal> CheckEarlyRefusal(const Relay& relay,
+                                                Common::Milliseconds idle_timeout,
                                                 Common::Milliseconds longest_wait);
   /// Counts a refused request as a waiting one for `span`, after which its caller should retry, so
   /// that its model can be loaded meanwhile.
@@ -205,7 +206,7 @@
   /// `holders`: all servers that hold the model; each has a limit or a Retry-After in force.
   /// `nearest`: the fastest source from which another server could load the weights.
   std::optional<EarlyRefusal> CheckExpectedWait(const std::vector<ServerPtr>& holders,
-                                                bool is_coming,
+                                                bool load_in_progress,
                                                 std::optional<Decisions::WeightSource> nearest,
                                                 Common::Milliseconds longest_wait);
   /// How long a request would wait for the server, by its Retry-After and its rate limit.
--- a/Source/Core/Gateway/DispatcherLimits.cpp
+++ b/Source/Core/Gateway/DispatcherLimits.cpp
@@ -41,7 +41,7 @@
 }
 
 std::optional<EarlyRefusal>
-Dispatcher::CheckExpectedWait(const std::vector<ServerPtr>& holders, bool is_coming,
+Dispatcher::CheckExpectedWait(const std::vector<ServerPtr>& holders, bool load_in_progress,
                               std::optional<Decisions::WeightSource> nearest,
                               Milliseconds longest_wait)
 {
@@ -50,7 +50,7 @@
     return ExpectedWait(*server, now);
   });
   const bool loads_elsewhere =
-      is_coming ||
+      load_in_progress ||
       (nearest && *nearest != Decisions::WeightSource::WeightStore && soonest->IsThrottled(now));
   if (loads_elsewhere || ExpectedWait(*soonest, now) <= longest_wait)
     return std::nullopt;
@@ -139,9 +139,9 @@
       awaited.relay->RecheckWait();
 }
 
-void Dispatcher::ApplyQueuePositions(const std::vector<RateLimits::PositionLine>& places)
+void Dispatcher::ApplyQueuePositions(const std::vector<RateLimits::PositionLine>& positions)
 {
-  m_limited.SetQueuePositions(places, Common::Now());
+  m_limited.SetQueuePositions(positions, Common::Now());
   ScheduleDispatch();
   RecheckWaiting();
 }
--- a/Source/Core/Gateway/DispatcherSignals.cpp
+++ b/Source/Core/Gateway/DispatcherSignals.cpp
@@ -49,13 +49,13 @@
   if (!origin.is_request)
   {
     if (signals.limit.rate)
-      m_limited.NoteAnswer(*server, signals.limit, origin.sent_at);
+      m_limited.NoteResponse(*server, signals.limit, origin.sent_at);
     return;
   }
   if (signals.accepted && server->GetBackoff().NoteAccepted(origin.sent_at, server->Entry().slots))
     Common::LogEvent(Common::LogLevel::Info, "server-backoff-ended",
                      {{"instance", instance}, {"id", origin.request}});
-  m_limited.NoteAnswer(*server, signals.limit, origin.sent_at);
+  m_limited.NoteResponse(*server, signals.limit, origin.sent_at);
 }
 
 void Dispatcher::NoteRetryAfter(const ServerPtr& server, Milliseconds span,
@@ -104,7 +104,7 @@
   if (!server.IsDraining())
     return;
   ++m_counters.sent_to_draining;
-  if (!server.TakesWork(now))
+  if (!server.AcceptsRequests(now))
     ++m_counters.sent_after_drain;
 }
 
@@ -115,7 +115,7 @@
     return;
   Common::LogEvent(Common::LogLevel::Info, "server-draining",
                    {{"instance", server->Entry().instance},
-                    {"source", ToString(DrainSource::Answer)},
+                    {"source", ToString(DrainSource::Response)},
                     {"id", origin.request},
                     {"sent_ms_ago", AgeOf(origin).count()},
                     {"in_flight", server->InFlight()}});
--- a/Source/Core/Gateway/DrainRegistry.cpp
+++ b/Source/Core/Gateway/DrainRegistry.cpp
@@ -40,7 +40,7 @@
                                                   Common::TimePoint now)
 {
   m_tenure = std::max(m_tenure, tenure);
-  Forget(now - RETENTION);
+  RemoveOlderThan(now - RETENTION);
   std::vector<ServerKey> unknown;
   for (const ServerKey server : servers)
   {
@@ -62,7 +62,7 @@
 
 std::vector<ServerKey> DrainRegistry::NextUpdate(std::size_t most, Common::TimePoint now)
 {
-  Forget(now - ANNOUNCE_DURATION);
+  RemoveOlderThan(now - ANNOUNCE_DURATION);
   std::vector<ServerKey> servers;
   auto next = m_servers.upper_bound(m_sent_up_to);
   for (; next != m_servers.end() && servers.size() < most; ++next)
@@ -71,7 +71,7 @@
   return servers;
 }
 
-void DrainRegistry::Forget(Common::TimePoint noted_before)
+void DrainRegistry::RemoveOlderThan(Common::TimePoint noted_before)
 {
   std::erase_if(m_servers, [noted_before](const auto& item) {
     return item.second.noted_at < noted_before;
--- a/Source/Core/Gateway/DrainRegistry.h
+++ b/Source/Core/Gateway/DrainRegistry.h
@@ -46,7 +46,7 @@
     std::int64_t announced_in = 0; ///< Latest tenure whose holder announced the server.
   };
 
-  void Forget(Common::TimePoint noted_before);
+  void RemoveOlderThan(Common::TimePoint noted_before);
 
   std::map<RateLimits::ServerKey, Entry> m_servers;
   RateLimits::ServerKey m_sent_up_to =
--- a/Source/Core/Gateway/DrainState.cpp
+++ b/Source/Core/Gateway/DrainState.cpp
@@ -13,7 +13,7 @@
     return "none";
   case DrainSource::OtherVm:
     return "another VM";
-  case DrainSource::Answer:
+  case DrainSource::Response:
     return "an answer";
   case DrainSource::Entry:
     break;
@@ -47,7 +47,7 @@
   if (m_draining_in_entry)
     return DrainSource::Entry;
   if (m_announced_at)
-    return DrainSource::Answer;
+    return DrainSource::Response;
   return m_reported_at && !m_contradicted ? DrainSource::OtherVm : DrainSource::None;
 }
 
@@ -63,7 +63,7 @@
   case DrainSource::None:
   case DrainSource::OtherVm:
     return true;
-  case DrainSource::Answer:
+  case DrainSource::Response:
     return now - *m_announced_at < grace;
   case DrainSource::Entry:
     break;
--- a/Source/Core/Gateway/DrainState.h
+++ b/Source/Core/Gateway/DrainState.h
@@ -15,9 +15,9 @@
 enum class DrainSource : std::uint8_t
 {
   None,
-  OtherVm, ///< A response to another VM.
-  Answer,  ///< A response to this VM.
-  Entry,   ///< The server's registration on the platform.
+  OtherVm,  ///< A response to another VM.
+  Response, ///< A response to this VM.
+  Entry,    ///< The server's registration on the platform.
 };
 std::string_view ToString(DrainSource source);
 
--- a/Source/Core/Gateway/EntryPoint.cpp
+++ b/Source/Core/Gateway/EntryPoint.cpp
@@ -67,7 +67,7 @@
 }
 } // namespace
 
-void ProbeResponder::Adopt(int fd)
+void ProbeResponder::AcceptConnection(int fd)
 {
   const auto connection = Http::ServerConnection::Adopt(fd, *this);
   m_connections.emplace(connection.get(), connection);
@@ -175,12 +175,12 @@
 Common::Result<Common::Done> EntryPoint::Start()
 {
   auto callers = m_callers.Listen(m_settings.callers, [this](int fd, const Http::Endpoint&) {
-    m_dispatcher.Adopt(fd);
+    m_dispatcher.AcceptConnection(fd);
   });
   if (!callers)
     return callers;
   const auto probe = [this](int fd, const Http::Endpoint&) {
-    m_probes.Adopt(fd);
+    m_probes.AcceptConnection(fd);
   };
   if (auto metrics = m_metrics.Listen(m_settings.metrics, probe); !metrics)
     return metrics;
@@ -214,10 +214,10 @@
   m_dispatcher.BeginStop();
   if (m_on_stop)
     m_on_stop();
-  WaitForEnd();
+  ContinueStop();
 }
 
-void EntryPoint::WaitForEnd()
+void EntryPoint::ContinueStop()
 {
   const auto waited = Common::Now() - m_stop_began;
   const bool balancer_notified = waited >= std::min(BALANCER_DELAY, m_settings.stop_grace / 2);
@@ -232,7 +232,7 @@
     return;
   }
   m_stop_timer.Start(STOP_POLL, [this] {
-    WaitForEnd();
+    ContinueStop();
   });
 }
 } // namespace Gateway
--- a/Source/Core/Gateway/EntryPoint.h
+++ b/Source/Core/Gateway/EntryPoint.h
@@ -34,7 +34,7 @@
   {
   }
 
-  void Adopt(int fd);
+  void AcceptConnection(int fd);
   void OnRequest(const std::shared_ptr<Http::ServerConnection>& connection,
                  Http::ReceivedRequest request) override;
   const Http::ServerLimits& Limits() const override { return m_limits; }
@@ -74,7 +74,7 @@
   std::string RenderMetrics();
   std::string RenderDump() const;
   void BeginStop();
-  void WaitForEnd();
+  void ContinueStop();
 
   EntryPointSettings m_settings;
   Dispatcher m_dispatcher;
--- a/Source/Core/Gateway/LimitedServers.cpp
+++ b/Source/Core/Gateway/LimitedServers.cpp
@@ -33,8 +33,8 @@
 }
 } // namespace
 
-void LimitedServers::NoteAnswer(const Server& server, const RateLimits::LimitReading& reading,
-                                Common::TimePoint sent_at)
+void LimitedServers::NoteResponse(const Server& server, const RateLimits::LimitReading& reading,
+                                  Common::TimePoint sent_at)
 {
   if (!reading.readable)
   {
@@ -42,25 +42,25 @@
     Common::LogEvent(Common::LogLevel::Warning, "server-limit-unreadable",
                      {{"instance", server.Entry().instance},
                       {"value", reading.unreadable},
-                      {"in_force", RateLimits::Describe(m_book.CurrentLimit(server.Key()))}});
+                      {"in_force", RateLimits::Describe(m_registry.CurrentLimit(server.Key()))}});
   }
-  if (const auto change = m_book.NoteAnswer(server.Key(), reading, sent_at, Common::Now()))
+  if (const auto change = m_registry.NoteResponse(server.Key(), reading, sent_at, Common::Now()))
     Report({*change}, "an answer");
 }
 
-void LimitedServers::ApplyUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& news)
+void LimitedServers::ApplyUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& update)
 {
   const auto now = Common::Now();
-  ApplyQueues(news, now);
-  Report(m_book.ApplyUpdate(tenure, news, now), "the holder");
+  ApplyQueues(update, now);
+  Report(m_registry.ApplyUpdate(tenure, update, now), "the holder");
 }
 
-void LimitedServers::ApplyQueues(const RateLimits::LimitUpdate& news, Common::TimePoint now)
+void LimitedServers::ApplyQueues(const RateLimits::LimitUpdate& update, Common::TimePoint now)
 {
   std::erase_if(m_waiting, [&](const auto& entry) {
-    return news.Covers(entry.first);
+    return update.Covers(entry.first);
   });
-  for (const RateLimits::LimitLine& line : news.lines)
+  for (const RateLimits::LimitLine& line : update.lines)
   {
     m_waiting[line.server] = line.waiting;
     m_next_permits[line.server] = {now + Milliseconds(line.free_in_ms), now};
@@ -70,7 +70,7 @@
 void LimitedServers::ApplyObservations(std::int64_t tenure, const Common::VmId& from,
                                        std::span<const RateLimits::LimitObservation> observations)
 {
-  Report(m_book.ApplyObservations(tenure, observations, Common::Now()), from.Get());
+  Report(m_registry.ApplyObservations(tenure, observations, Common::Now()), from.Get());
 }
 
 void LimitedServers::Report(const std::vector<RateLimits::LimitChange>& changes,
@@ -98,15 +98,15 @@
 
 void LimitedServers::Refresh()
 {
-  if (m_book.Empty() && m_limited.empty())
+  if (m_registry.Empty() && m_limited.empty())
     return;
   ++m_revision;
   m_limited.clear();
   std::vector<ServerKey> keys;
   for (const auto& [instance, server] : m_servers.All())
   {
-    const auto rate = m_book.CurrentLimit(server->Key());
-    const auto since = m_book.LimitedSince(server->Key());
+    const auto rate = m_registry.CurrentLimit(server->Key());
+    const auto since = m_registry.LimitedSince(server->Key());
     if (!rate)
     {
       server->SetLimit(std::nullopt);
--- a/Source/Core/Gateway/LimitedServers.h
+++ b/Source/Core/Gateway/LimitedServers.h
@@ -27,19 +27,19 @@
   void OnChange(std::function<void()> callback) { m_on_change = std::move(callback); }
 
   /// Applies the limit in a server's response to a request that was sent at `sent_at`.
-  void NoteAnswer(const Server& server, const RateLimits::LimitReading& reading,
-                  Common::TimePoint sent_at);
+  void NoteResponse(const Server& server, const RateLimits::LimitReading& reading,
+                    Common::TimePoint sent_at);
   /// Applies an announcement of the lease holder: limits and queues.
-  void ApplyUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& news);
+  void ApplyUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& update);
   /// Applies only the queues of such an announcement.
-  void ApplyQueues(const RateLimits::LimitUpdate& news, Common::TimePoint now);
+  void ApplyQueues(const RateLimits::LimitUpdate& update, Common::TimePoint now);
   /// At the lease holder: applies limits that another daemon has read from responses.
   void ApplyObservations(std::int64_t tenure, const Common::VmId& from,
                          std::span<const RateLimits::LimitObservation> observations);
   /// Applies the limits to the directory's servers; called after the directory has changed.
   void Refresh();
 
-  RateLimits::LimitRegistry& Book() { return m_book; }
+  RateLimits::LimitRegistry& Registry() { return m_registry; }
   RateLimits::LocalPermits& Permits() { return m_permits; }
   const RateLimits::LocalPermits& Permits() const { return m_permits; }
   /// Servers with a limit.
@@ -77,7 +77,7 @@
   void Report(const std::vector<RateLimits::LimitChange>& changes, std::string_view source);
 
   ServerDirectory& m_servers;
-  RateLimits::LimitRegistry m_book;
+  RateLimits::LimitRegistry m_registry;
   RateLimits::LocalPermits m_permits;
   std::vector<ServerPtr> m_limited;
   /// Waiting requests of all daemons, as last announced by the lease holder.
--- a/Source/Core/Gateway/Relay.cpp
+++ b/Source/Core/Gateway/Relay.cpp
@@ -25,14 +25,14 @@
 /// A caller disconnects from a stream on which it receives nothing for the longest of: a fixed
 /// time, a multiple of the latency target, a multiple of the gap target. The values are those in
 /// the platform's documentation of requests.
-constexpr Milliseconds CALLER_PATIENCE{2000};
-constexpr int CALLER_PATIENCE_LATENCY_TARGETS = 4;
-constexpr int CALLER_PATIENCE_GAP_TARGETS = 8;
+constexpr Milliseconds CALLER_IDLE_TIMEOUT{2000};
+constexpr int CALLER_IDLE_LATENCY_TARGETS = 4;
+constexpr int CALLER_IDLE_GAP_TARGETS = 8;
 /// No further attempt is made with less time than this before the deadline.
 constexpr Milliseconds MIN_ATTEMPT_TIME{40};
 /// A streaming request that has no response after this many latency targets is retried at another
 /// server if it is repeatable. For other requests it is one latency target.
-constexpr double SILENCE_LATENCY_TARGETS = 2.5;
+constexpr double STALL_LATENCY_TARGETS = 2.5;
 /// A server that the platform no longer lists may still finish its work; if it also sends nothing
 /// for this long, it is considered to have failed.
 constexpr Milliseconds UNLISTED_SERVER_TIMEOUT{1900};
@@ -79,12 +79,12 @@
 
 /// How long a caller of a stream waits without receiving anything; a caller of a complete response
 /// waits until its deadline.
-Milliseconds CallerPatience(const Route& route)
+Milliseconds CallerIdleTimeout(const Route& route)
 {
   if (route.repeatability != Repeatability::Streaming)
     return Milliseconds::max();
-  return std::max({CALLER_PATIENCE, route.latency_target * CALLER_PATIENCE_LATENCY_TARGETS,
-                   route.gap_target * CALLER_PATIENCE_GAP_TARGETS});
+  return std::max({CALLER_IDLE_TIMEOUT, route.latency_target * CALLER_IDLE_LATENCY_TARGETS,
+                   route.gap_target * CALLER_IDLE_GAP_TARGETS});
 }
 } // namespace
 
@@ -158,9 +158,9 @@
   if (!AuthenticateCaller(*configuration))
     return;
   m_pool = PickPool(m_route.pools);
-  m_patience = CallerPatience(m_route);
+  m_idle_timeout = CallerIdleTimeout(m_route);
   ReadHeaders();
-  if (AnswerIfBlocked())
+  if (RefuseIfBlocked())
     return;
   StartTimers();
   TakeAllowance();
@@ -182,7 +182,7 @@
           m_request.body};
 }
 
-bool Relay::AnswerIfBlocked()
+bool Relay::RefuseIfBlocked()
 {
   const Crashes::BlockStatus block_status = m_dispatcher.GetBlockStatus(*this);
   if (!block_status.blocked)
@@ -202,8 +202,8 @@
 {
   const auto guard = shared_from_this();
   // A server that has begun to respond may finish: a success would unblock the request.
-  if (!m_done && !m_answer_began_at)
-    AnswerIfBlocked();
+  if (!m_done && !m_response_began_at)
+    RefuseIfBlocked();
 }
 
 void Relay::FindServer()
@@ -217,9 +217,9 @@
   const HeaderNames& names = m_dispatcher.Settings().names;
   const Http::MessageHead& head = m_request.head;
   const auto left = ParseNumber(head.Find(names.time_left_ms));
-  const Milliseconds patience =
+  const Milliseconds time_left =
       left ? Milliseconds(std::max<std::int64_t>(*left, 0)) : m_route.timeout;
-  m_deadline = m_arrived + std::min(patience, m_route.timeout);
+  m_deadline = m_arrived + std::min(time_left, m_route.timeout);
   const std::string* model = m_route.uses_model ? head.Find(names.model) : nullptr;
   if (model != nullptr)
   {
@@ -253,7 +253,7 @@
   if (m_done || m_connection)
     return;
   const auto guard = shared_from_this();
-  if (AnswerIfBlocked())
+  if (RefuseIfBlocked())
     return;
   const ServerPtr server =
       m_dispatcher.MustAwaitCrashCheck(*this) ? nullptr : m_dispatcher.ChooseServer(*this);
@@ -280,7 +280,7 @@
   m_wait_timer.Stop();
   m_server = server;
   m_sent_at = now;
-  m_answer_began_at.reset();
+  m_response_began_at.reset();
   m_server->NoteStart(m_artifact, now);
   m_is_stream = false;
   m_body.clear();
@@ -294,7 +294,7 @@
   m_dispatcher.Limited().NoteSend(*m_server, now);
   m_dispatcher.CountSend(*m_server, now);
   if (m_arrivals > 0)
-    ++m_dispatcher.Counters().repeats;
+    ++m_dispatcher.Counters().retries;
   if (m_stream_begun)
     ++m_dispatcher.Counters().resumed;
   ++m_arrivals;
@@ -312,8 +312,8 @@
                      m_request.head.method == "HEAD");
   const bool is_stream = m_route.repeatability == Repeatability::Streaming;
   const auto target =
-      std::chrono::duration_cast<Milliseconds>(m_route.latency_target * SILENCE_LATENCY_TARGETS);
-  ArmSilenceTimer(is_stream ? std::max(target, MIN_STREAM_SILENCE) : m_route.latency_target);
+      std::chrono::duration_cast<Milliseconds>(m_route.latency_target * STALL_LATENCY_TARGETS);
+  ArmStallTimer(is_stream ? std::max(target, MIN_STREAM_STALL_TIMEOUT) : m_route.latency_target);
 }
 
 void Relay::AttemptFailed(std::string_view why, bool may_have_run)
@@ -321,7 +321,7 @@
   const auto guard = shared_from_this();
   m_last_reason = why;
   m_may_have_run = m_may_have_run || may_have_run;
-  m_silence_timer.Stop();
+  m_stall_timer.Stop();
   if (m_server)
     Common::LogEvent(Common::LogLevel::Warning, "attempt-failed",
                      {{"id", m_id},
@@ -342,7 +342,7 @@
     return;
   }
   if (m_saved_head)
-    ForwardSavedAnswer();
+    ForwardSavedResponse();
   else if (m_stream_begun)
     EndWith(Outcome::BrokenOff, 0, why);
   else if (m_may_have_run)
@@ -361,7 +361,7 @@
   return !m_stream_begun || resumes;
 }
 
-void Relay::ForwardSavedAnswer()
+void Relay::ForwardSavedResponse()
 {
   m_head = *m_saved_head;
   // These statuses promise that the request did not run. They are not forwarded unless the server
@@ -377,22 +377,22 @@
   EndWith(Outcome::Answered, 0, "");
 }
 
-void Relay::ArmSilenceTimer(Milliseconds span)
+void Relay::ArmStallTimer(Milliseconds span)
 {
-  m_silence_since = Common::Now();
-  m_silence_timer.Start(span, [this, span] {
-    OnSilence(span);
+  m_last_progress_at = Common::Now();
+  m_stall_timer.Start(span, [this, span] {
+    OnStall(span);
   });
 }
 
-void Relay::OnSilence(Milliseconds span)
+void Relay::OnStall(Milliseconds span)
 {
   const auto guard = shared_from_this();
   if (!m_connection)
     return;
   const auto now = Common::Now();
   const bool is_unlisted = m_dispatcher.Servers().Find(m_server->Entry().instance) == nullptr;
-  if (is_unlisted && now - m_silence_since >= UNLISTED_SERVER_TIMEOUT)
+  if (is_unlisted && now - m_last_progress_at >= UNLISTED_SERVER_TIMEOUT)
   {
     AttemptFailed("the server is no longer listed and has sent nothing", true);
     return;
@@ -406,8 +406,8 @@
     AttemptFailed("the server has sent nothing for too long", true);
     return;
   }
-  m_silence_timer.Start(span, [this, span] {
-    OnSilence(span);
+  m_stall_timer.Start(span, [this, span] {
+    OnStall(span);
   });
 }
 
@@ -454,7 +454,7 @@
     ReturnAllowance();
   m_deadline_timer.Stop();
   m_wait_timer.Stop();
-  m_silence_timer.Stop();
+  m_stall_timer.Stop();
   const auto took = std::chrono::duration_cast<Milliseconds>(Common::Now() - m_arrived);
   Common::LogEvent(
       outcome == Outcome::Answered ? Common::LogLevel::Info : Common::LogLevel::Warning, "request",
--- a/Source/Core/Gateway/Relay.h
+++ b/Source/Core/Gateway/Relay.h
@@ -111,7 +111,7 @@
 
 private:
   /// Lower bound for the stall timeout of a stream, whatever the targets of its route.
-  static constexpr Common::Milliseconds MIN_STREAM_SILENCE{1000};
+  static constexpr Common::Milliseconds MIN_STREAM_STALL_TIMEOUT{1000};
 
   /// Identifies the caller's account; false if the request has ended.
   bool AuthenticateCaller(const Configuration& configuration);
@@ -125,7 +125,7 @@
   /// Returns the request's units to its account if it has not run.
   void ReturnAllowance();
   /// Ends the request and returns true if it is blocked.
-  bool AnswerIfBlocked();
+  bool RefuseIfBlocked();
   /// Looks for a server, after the account's limit has been checked.
   void FindServer();
   /// The values of the key headers in the order in which they appear.
@@ -137,13 +137,13 @@
 
   // Handling of responses.
   void HandleRejection();
-  void HandleCompleteAnswer();
-  bool IsValidAnswer(const Http::MessageHead& head) const;
+  void HandleCompleteResponse();
+  bool IsValidResponse(const Http::MessageHead& head) const;
   /// True if the response came from a different server process than the one addressed.
   bool IsFromOtherInstance() const;
   void ForwardEvents(const std::string& events);
   void FinishStream();
-  void ForwardSavedAnswer();
+  void ForwardSavedResponse();
 
   // Handling of failed attempts.
   void AttemptFailed(std::string_view why, bool may_have_run);
@@ -156,8 +156,8 @@
   void LogEarlyRefusal(const EarlyRefusal& refusal) const;
   void OnWaitExpired();
   void OnDeadline();
-  void OnSilence(Common::Milliseconds span);
-  void ArmSilenceTimer(Common::Milliseconds span);
+  void OnStall(Common::Milliseconds span);
+  void ArmStallTimer(Common::Milliseconds span);
 
   void Refuse(std::string_view why);
   void Fail(int status, std::string_view why);
@@ -185,10 +185,10 @@
   std::optional<Crashes::Fingerprint> m_fingerprint;
   Common::TimePoint m_arrived;
   Common::TimePoint m_deadline;
-  Common::Milliseconds m_patience{0}; ///< How long the caller waits without receiving data.
+  Common::Milliseconds m_idle_timeout{0}; ///< How long the caller waits without receiving data.
   Common::OwnedTimer m_deadline_timer;
   Common::OwnedTimer m_wait_timer;
-  Common::OwnedTimer m_silence_timer;
+  Common::OwnedTimer m_stall_timer;
 
   ServerPtr m_server;
   std::shared_ptr<Http::OriginConnection> m_connection;
@@ -197,7 +197,7 @@
   std::set<InstanceId> m_deferred_by;
   Common::TimePoint m_sent_at; ///< To the current server.
   /// When the response head of the current server arrived.
-  std::optional<Common::TimePoint> m_answer_began_at;
+  std::optional<Common::TimePoint> m_response_began_at;
   int m_arrivals = 0; ///< How often the request has reached, or may have reached, a server.
   bool m_may_have_run = false;
   bool m_waiting = false;
@@ -215,7 +215,7 @@
   bool m_stream_begun = false; ///< Bytes of the stream have been sent to the caller.
   std::optional<Common::Milliseconds> m_first_event_after;
   Common::TimePoint m_last_event_at;
-  Common::TimePoint m_silence_since;
+  Common::TimePoint m_last_progress_at;
   Common::Milliseconds m_longest_pause{0};
   std::string m_last_reason;
   /// How long the caller should wait before it retries a refused request; unset: a short default.
--- a/Source/Core/Gateway/RelayAnswers.cpp
+++ b/Source/Core/Gateway/RelayResponses.cpp
@@ -19,7 +19,7 @@
 using Common::Milliseconds;
 
 /// A stream that pauses for this many gap targets is resumed at another server.
-constexpr int SILENCE_GAP_TARGETS = 4;
+constexpr int STALL_GAP_TARGETS = 4;
 } // namespace
 
 Http::AnswerEvents::Verdict Relay::OnAnswerHead(Http::MessageHead& head)
@@ -35,19 +35,19 @@
     return Verdict::Skip;
   }
   m_head = head;
-  m_answer_began_at = Common::Now();
-  const bool is_sound = IsValidAnswer(m_head);
+  m_response_began_at = Common::Now();
+  const bool is_valid = IsValidResponse(m_head);
   m_signals = ReadSignals(m_head.status, m_head.headers, m_dispatcher.Settings().names,
                           std::chrono::system_clock::now());
-  if (is_sound)
+  if (is_valid)
     m_dispatcher.ApplySignals(m_server, m_signals, {m_id, m_sent_at});
   const std::string* type = m_head.Find("Content-Type");
   m_is_stream = m_route.repeatability == Repeatability::Streaming && m_head.status == 200 &&
-                is_sound && (type == nullptr || type->find("event-stream") != std::string::npos);
+                is_valid && (type == nullptr || type->find("event-stream") != std::string::npos);
   return Verdict::Take;
 }
 
-bool Relay::IsValidAnswer(const Http::MessageHead& head) const
+bool Relay::IsValidResponse(const Http::MessageHead& head) const
 {
   const bool success = head.status >= 200 && head.status < 300;
   const bool signed_by_server = head.Find(m_dispatcher.Settings().names.signature) != nullptr;
@@ -81,8 +81,8 @@
 {
   if (events.empty())
     return;
-  const auto gap = m_route.gap_target * SILENCE_GAP_TARGETS;
-  ArmSilenceTimer(std::max(gap, MIN_STREAM_SILENCE));
+  const auto gap = m_route.gap_target * STALL_GAP_TARGETS;
+  ArmStallTimer(std::max(gap, MIN_STREAM_STALL_TIMEOUT));
   if (!m_stream_begun)
   {
     m_stream_begun = true;
@@ -107,13 +107,13 @@
 void Relay::OnAnswerEnd()
 {
   const auto guard = shared_from_this();
-  m_silence_timer.Stop();
+  m_stall_timer.Stop();
   if (m_connection && m_server)
     m_server->ReturnConnection(std::exchange(m_connection, nullptr));
   if (m_is_stream)
     FinishStream();
   else
-    HandleCompleteAnswer();
+    HandleCompleteResponse();
 }
 
 void Relay::FinishStream()
@@ -128,14 +128,14 @@
   EndWith(Outcome::Answered, 0, "");
 }
 
-void Relay::HandleCompleteAnswer()
+void Relay::HandleCompleteResponse()
 {
   if (m_signals.not_run)
   {
     HandleRejection();
     return;
   }
-  if (!IsValidAnswer(m_head))
+  if (!IsValidResponse(m_head))
   {
     m_server->Health().NoteFailure(Common::Now());
     AttemptFailed("the response has no server signature, or a Content-Encoding", true);
@@ -163,7 +163,7 @@
   if (is_first_failure && m_route.IsRepeatable())
     AttemptFailed("the server failed with status " + std::to_string(m_head.status), true);
   else
-    ForwardSavedAnswer();
+    ForwardSavedResponse();
 }
 
 void Relay::HandleRejection()
@@ -212,8 +212,8 @@
     return;
   }
   std::optional<Milliseconds> ran_for;
-  if (m_answer_began_at)
-    ran_for = std::chrono::duration_cast<Milliseconds>(now - *m_answer_began_at);
+  if (m_response_began_at)
+    ran_for = std::chrono::duration_cast<Milliseconds>(now - *m_response_began_at);
   m_dispatcher.NoteConnectionBroken(m_server, *this, m_sent_at, ran_for);
   AttemptFailed("the connection broke before the response was complete", true);
 }
--- a/Source/Core/Gateway/RelayWaiting.cpp
+++ b/Source/Core/Gateway/RelayWaiting.cpp
@@ -19,7 +19,7 @@
 
 /// The share of the caller's idle timeout that a request may wait for a server, so that a refusal
 /// arrives before the caller disconnects.
-constexpr double WAIT_SHARE_OF_PATIENCE = 0.7;
+constexpr double WAIT_SHARE_OF_IDLE_TIMEOUT = 0.7;
 /// The share of the time until its deadline that a request may wait for a server. More than half of
 /// it would leave the caller too little time to retry elsewhere.
 constexpr double WAIT_SHARE_OF_DEADLINE = 0.45;
@@ -56,14 +56,15 @@
 {
   auto limit =
       std::chrono::duration_cast<Milliseconds>((m_deadline - m_arrived) * WAIT_SHARE_OF_DEADLINE);
-  limit = std::min(limit,
-                   std::chrono::duration_cast<Milliseconds>(m_patience * WAIT_SHARE_OF_PATIENCE));
+  limit = std::min(
+      limit, std::chrono::duration_cast<Milliseconds>(m_idle_timeout * WAIT_SHARE_OF_IDLE_TIMEOUT));
   return std::max(std::chrono::floor<Milliseconds>(m_arrived + limit - now), Milliseconds(0));
 }
 
 bool Relay::RefuseEarly()
 {
-  const auto refusal = m_dispatcher.CheckEarlyRefusal(*this, m_patience, WaitLeft(Common::Now()));
+  const auto refusal =
+      m_dispatcher.CheckEarlyRefusal(*this, m_idle_timeout, WaitLeft(Common::Now()));
   if (!refusal)
     return false;
   if (m_may_have_run)
@@ -142,7 +143,7 @@
   const auto guard = shared_from_this();
   if (m_saved_head)
   {
-    ForwardSavedAnswer();
+    ForwardSavedResponse();
     return;
   }
   if (m_stream_begun)
--- a/Source/Core/Gateway/RetryBudget.cpp
+++ b/Source/Core/Gateway/RetryBudget.cpp
@@ -23,8 +23,8 @@
   const auto oldest = now - m_settings.window;
   while (!counts.requests.empty() && counts.requests.front() < oldest)
     counts.requests.pop_front();
-  while (!counts.repeats.empty() && counts.repeats.front() < oldest)
-    counts.repeats.pop_front();
+  while (!counts.retries.empty() && counts.retries.front() < oldest)
+    counts.retries.pop_front();
   return counts;
 }
 
@@ -39,14 +39,14 @@
   const double slack = Common::IsOn(Common::Mechanism::BudgetSlack) ? m_settings.slack : 0;
   const double allowed = m_settings.ratio * static_cast<double>(counts.requests.size()) +
                          slack / std::max(m_daemons, 1);
-  return USED_SHARE * allowed - static_cast<double>(counts.repeats.size());
+  return USED_SHARE * allowed - static_cast<double>(counts.retries.size());
 }
 
 bool RetryBudget::Take(const PoolId& pool, Common::TimePoint now)
 {
   if (Left(pool, now) < 1)
     return false;
-  m_counts[pool].repeats.push_back(now);
+  m_counts[pool].retries.push_back(now);
   return true;
 }
 } // namespace Gateway
--- a/Source/Core/Gateway/RetryBudget.h
+++ b/Source/Core/Gateway/RetryBudget.h
@@ -38,7 +38,7 @@
   struct Counts
   {
     std::deque<Common::TimePoint> requests;
-    std::deque<Common::TimePoint> repeats;
+    std::deque<Common::TimePoint> retries;
   };
   Counts& PrunedCounts(const PoolId& pool, Common::TimePoint now);
 
--- a/Source/Core/Gateway/ServerDirectory.cpp
+++ b/Source/Core/Gateway/ServerDirectory.cpp
@@ -38,8 +38,8 @@
 
 bool Server::IsAvailable(Common::TimePoint now) const
 {
-  if (!TakesWork(now) || Health().IsEjected(now) || !GetBackoff().MaySend(now) ||
-      m_silence.IsSilent(now))
+  if (!AcceptsRequests(now) || Health().IsEjected(now) || !GetBackoff().MaySend(now) ||
+      m_silence.IsUnresponsive(now))
     return false;
   return !Health().IsRecovering() || m_in_flight == 0;
 }
@@ -124,7 +124,7 @@
 {
   --m_in_flight;
   GetBackoff().NoteEnd(sent_at);
-  if (m_in_flight == 0 && m_silence.IsSilent(now))
+  if (m_in_flight == 0 && m_silence.IsUnresponsive(now))
   {
     Common::LogEvent(Common::LogLevel::Warning, "server-silent",
                      {{"instance", m_entry.instance},
--- a/Source/Core/Gateway/ServerDirectory.h
+++ b/Source/Core/Gateway/ServerDirectory.h
@@ -53,14 +53,14 @@
   bool HoldsModel(const ModelId& model) const;
   bool Holds(const Artifact& artifact, Common::TimePoint now) const;
   /// True if the server takes requests now or after a pause.
-  bool TakesWork(Common::TimePoint now) const
+  bool AcceptsRequests(Common::TimePoint now) const
   {
     return !IsReplaced() && Drain().MayServe(now, m_drain_grace);
   }
   /// True if the server can serve a request for the artifact, now or after a short pause.
   bool MayServe(const Artifact& artifact, Common::TimePoint now) const
   {
-    return TakesWork(now) && Holds(artifact, now);
+    return AcceptsRequests(now) && Holds(artifact, now);
   }
   /// Records that the server responded that it does not hold the artifact. It is not tried again
   /// for a while.
--- a/Source/Core/Gateway/SilenceDetector.cpp
+++ b/Source/Core/Gateway/SilenceDetector.cpp
@@ -62,7 +62,7 @@
   m_sent_since_received = 0;
 }
 
-bool SilenceDetector::IsSilent(Common::TimePoint now) const
+bool SilenceDetector::IsUnresponsive(Common::TimePoint now) const
 {
   return Common::IsOn(Common::Mechanism::SilenceDetector) && m_quiet_since &&
          m_sent_since_received >= MIN_UNANSWERED_REQUESTS && now - *m_quiet_since > Limit();
--- a/Source/Core/Gateway/SilenceDetector.h
+++ b/Source/Core/Gateway/SilenceDetector.h
@@ -29,7 +29,7 @@
   /// True if the server has sent nothing for longer than the limit and has more than one request
   /// without a response. The response to a single request may be late or missing for reasons
   /// specific to that request.
-  bool IsSilent(Common::TimePoint now) const;
+  bool IsUnresponsive(Common::TimePoint now) const;
   /// The pause after which the server is considered unresponsive.
   Common::Milliseconds Limit() const;
 
--- a/Source/Core/Gateway/Types.cpp
+++ b/Source/Core/Gateway/Types.cpp
@@ -20,10 +20,10 @@
 
 const ModelSpec* Pool::FindModel(const ModelId& model) const
 {
-  if (!engine)
+  if (!model_server)
     return nullptr;
-  const auto found = engine->models.find(model);
-  return found == engine->models.end() ? nullptr : &found->second;
+  const auto found = model_server->models.find(model);
+  return found == model_server->models.end() ? nullptr : &found->second;
 }
 
 const Route* Configuration::FindRoute(std::string_view host, std::string_view path) const
--- a/Source/Core/Gateway/Types.h
+++ b/Source/Core/Gateway/Types.h
@@ -141,7 +141,7 @@
 };
 
 /// Properties shared by all servers of a pool that run models.
-struct EngineSpec
+struct ModelServerSpec
 {
   int batch = 1;               ///< Concurrent requests per server.
   double memory_mb = 0;        ///< Memory for weights and adapters per server.
@@ -155,7 +155,7 @@
   PoolId id;
   std::string health_path;
   int max_connections = 0; ///< Accepted by one server from all callers together.
-  std::optional<EngineSpec> engine;
+  std::optional<ModelServerSpec> model_server;
 
   /// Returns nullptr if the servers of the pool run no models or do not support this one.
   const ModelSpec* FindModel(const ModelId& model) const;
--- a/Source/Core/Orders/Hub.cpp
+++ b/Source/Core/Orders/Hub.cpp
@@ -112,7 +112,7 @@
   });
   m_dispatcher.OnPermitDemand([this] {
     m_permits.SchedulePermitRequest();
-    if (m_dispatcher.Limited().Book().Revision() != m_limits_announced ||
+    if (m_dispatcher.Limited().Registry().Revision() != m_limits_announced ||
         m_dispatcher.Draining().Revision() != m_draining_announced)
       ScheduleAnnouncement();
   });
@@ -385,7 +385,7 @@
   state.lease_left_ms = m_own_lease->left.count();
   state.daemons = m_daemons.Get();
   state.min_handicap_ms = MinHandicapOfPeers().count();
-  const std::uint64_t limits_revision = m_dispatcher.Limited().Book().Revision();
+  const std::uint64_t limits_revision = m_dispatcher.Limited().Registry().Revision();
   if (regular || std::exchange(m_limits_announced, limits_revision) != limits_revision)
     state.limits.push_back(m_permits.MakeLimitUpdate(now));
   const std::uint64_t draining_revision = m_dispatcher.Draining().Revision();
--- a/Source/Core/Orders/OrderManager.cpp
+++ b/Source/Core/Orders/OrderManager.cpp
@@ -53,7 +53,7 @@
   return "weight_store";
 }
 
-Milliseconds LoadTime(const Gateway::EngineSpec& engine, const ModelId& model,
+Milliseconds LoadTime(const Gateway::ModelServerSpec& engine, const ModelId& model,
                       Decisions::WeightSource source)
 {
   const auto found = engine.models.find(model);
@@ -111,10 +111,10 @@
   m_configuration = std::move(configuration);
   std::erase_if(m_plan_inputs, [&](const auto& entry) {
     const auto pool = m_configuration->pools.find(entry.first);
-    return pool == m_configuration->pools.end() || !pool->second.engine;
+    return pool == m_configuration->pools.end() || !pool->second.model_server;
   });
   for (const auto& [id, pool] : m_configuration->pools)
-    if (pool.engine)
+    if (pool.model_server)
       m_plan_inputs[id].Configure(pool);
   m_server_refs.clear();
   m_server_refs_revision = 0;
@@ -218,9 +218,10 @@
     return;
   }
   const auto pool = m_configuration->pools.find(server->Entry().pool);
-  const auto usual = pool != m_configuration->pools.end() && pool->second.engine
-                         ? LoadTime(*pool->second.engine, open.call.artifact.model, open.source)
-                         : Milliseconds(0);
+  const auto usual =
+      pool != m_configuration->pools.end() && pool->second.model_server
+          ? LoadTime(*pool->second.model_server, open.call.artifact.model, open.source)
+          : Milliseconds(0);
   if (now - open.first_sent > usual * 2 + ORDER_TIMEOUT)
   {
     CloseOrder(server->Entry().instance, record, "given_up");
--- a/Source/Core/Orders/OrderManagerAdapters.cpp
+++ b/Source/Core/Orders/OrderManagerAdapters.cpp
@@ -60,7 +60,7 @@
         !record.state_known)
       continue;
     const bool full =
-        static_cast<int>(AdaptersOn(*server, record).size()) >= pool.engine->adapter_slots;
+        static_cast<int>(AdaptersOn(*server, record).size()) >= pool.model_server->adapter_slots;
     if (full && !AdapterToEvict(*server, record, now))
       continue;
     const std::pair key(full, m_in_flight_totals.ForServer(server->Entry().instance).in_flight);
--- a/Source/Core/Orders/OrderManagerPlan.cpp
+++ b/Source/Core/Orders/OrderManagerPlan.cpp
@@ -47,8 +47,9 @@
   for (const auto& [instance, record] : m_server_records)
     if (record.open && record.open->source == Decisions::WeightSource::WeightStore)
       ++running;
-  const int by_rate = static_cast<int>(pool.engine->loads_per_second * m_settings.load_window_s) -
-                      static_cast<int>(begun);
+  const int by_rate =
+      static_cast<int>(pool.model_server->loads_per_second * m_settings.load_window_s) -
+      static_cast<int>(begun);
   return std::min(by_rate, STORE_LOADS_AT_ONCE - running);
 }
 
@@ -58,9 +59,9 @@
   double memory_mb = 0;
   for (const UnansweredLoad& load : record.previous_instance_loads)
   {
-    const auto model = pool.engine->models.find(load.model);
+    const auto model = pool.model_server->models.find(load.model);
     const bool possible = now < load.until && load.expected_sequence >= record.sequence;
-    if (possible && model != pool.engine->models.end())
+    if (possible && model != pool.model_server->models.end())
       memory_mb += model->second.memory_mb;
   }
   return memory_mb;
@@ -156,8 +157,9 @@
          {"unserved_ms", model.unserved_for.count()},
          {"copies", entry.copies},
          {"store_allowed", entry.store_allowed},
-         {"instance", entry.nearest ? plan_input.ServerAt(*entry.nearest)->Entry().instance.Get()
-                                    : std::string()},
+         {"instance", entry.most_free_server
+                          ? plan_input.ServerAt(*entry.most_free_server)->Entry().instance.Get()
+                          : std::string()},
          {"free_mb", static_cast<std::int64_t>(entry.free_mb)},
          {"needed_mb", static_cast<std::int64_t>(model.memory_mb)}});
   }
--- a/Source/Core/Orders/OrderManagerServers.cpp
+++ b/Source/Core/Orders/OrderManagerServers.cpp
@@ -147,7 +147,7 @@
       server->GetBackoff().IsRetryAfterActive(now))
     return;
   const auto pool = m_configuration->pools.find(server->Entry().pool);
-  if (pool == m_configuration->pools.end() || !pool->second.engine)
+  if (pool == m_configuration->pools.end() || !pool->second.model_server)
     return;
   record.report_pending = true;
   const InstanceId instance = server->Entry().instance;
--- a/Source/Core/Orders/PermitExchange.cpp
+++ b/Source/Core/Orders/PermitExchange.cpp
@@ -43,7 +43,7 @@
   m_peers.clear();
   m_allocator.Begin();
   m_limits_revision = 0;
-  RateLimits::LimitRegistry& limits = m_dispatcher.Limited().Book();
+  RateLimits::LimitRegistry& limits = m_dispatcher.Limited().Registry();
   Gateway::DrainRegistry& draining = m_dispatcher.Draining();
   if (own_tenure)
   {
@@ -77,7 +77,7 @@
   request.data_centre = m_dispatcher.Settings().data_centre;
   request.tenure = m_tenure;
   request.demands = m_dispatcher.PermitDemands();
-  for (const auto& observation : m_dispatcher.Limited().Book().Unconfirmed(Common::Now()))
+  for (const auto& observation : m_dispatcher.Limited().Registry().Unconfirmed(Common::Now()))
     if (m_dispatcher.Servers().FindByKey(observation.server))
       request.observations.push_back(observation);
   request.draining = m_dispatcher.Draining().Unconfirmed();
@@ -220,7 +220,7 @@
 
 RateLimits::LimitUpdate PermitExchange::MakeLimitUpdate(Common::TimePoint now)
 {
-  RateLimits::LimitRegistry& book = m_dispatcher.Limited().Book();
+  RateLimits::LimitRegistry& book = m_dispatcher.Limited().Registry();
   book.Retain([this](RateLimits::ServerKey server) {
     return m_dispatcher.Servers().FindByKey(server) != nullptr;
   });
--- a/Source/Core/Orders/PlanInputBuilder.cpp
+++ b/Source/Core/Orders/PlanInputBuilder.cpp
@@ -40,7 +40,7 @@
 
 void PlanInputBuilder::Configure(const Gateway::Pool& pool)
 {
-  const Gateway::EngineSpec& engine = *pool.engine;
+  const Gateway::ModelServerSpec& engine = *pool.model_server;
   m_memory_mb = engine.memory_mb;
   m_input.batch = engine.batch;
   m_input.rules = {Common::IsOn(Common::Mechanism::SpareReplicas),
--- a/Source/Core/RateLimits/LimitRegistry.cpp
+++ b/Source/Core/RateLimits/LimitRegistry.cpp
@@ -52,9 +52,10 @@
   return change;
 }
 
-std::optional<LimitChange> LimitRegistry::NoteAnswer(ServerKey server, const LimitReading& reading,
-                                                     Common::TimePoint sent_at,
-                                                     Common::TimePoint now)
+std::optional<LimitChange> LimitRegistry::NoteResponse(ServerKey server,
+                                                       const LimitReading& reading,
+                                                       Common::TimePoint sent_at,
+                                                       Common::TimePoint now)
 {
   const bool is_unreadable = !reading.readable && !reading.rate;
   const auto found = m_entries.find(server);
--- a/Source/Core/RateLimits/LimitRegistry.h
+++ b/Source/Core/RateLimits/LimitRegistry.h
@@ -41,8 +41,8 @@
   std::uint64_t Revision() const { return m_revision; }
 
   /// Records the limit in the response to a request that this daemon sent at `sent_at`.
-  std::optional<LimitChange> NoteAnswer(ServerKey server, const LimitReading& reading,
-                                        Common::TimePoint sent_at, Common::TimePoint now);
+  std::optional<LimitChange> NoteResponse(ServerKey server, const LimitReading& reading,
+                                          Common::TimePoint sent_at, Common::TimePoint now);
   /// Readings that the holder has not confirmed yet.
   std::vector<LimitObservation> Unconfirmed(Common::TimePoint now) const;
   /// Applies an update that the holder sent.
--- a/Source/Core/Serving/ServerController.cpp
+++ b/Source/Core/Serving/ServerController.cpp
@@ -202,7 +202,7 @@
   const bool current = m_report_current && m_report_requested_at > m_ledger.RowReceivedAt();
   input.reported = current ? ToReported(Reported(claim.artifact)) : ReportedState::Unknown;
   input.order = OrderStatusOf(claim, &since);
-  input.engine_checks_fencing = m_server.checks_fencing && m_report->checks_fencing;
+  input.server_checks_fencing = m_server.checks_fencing && m_report->checks_fencing;
   input.same_instance = claim.server_incarnation == m_report->incarnation;
   input.fence_raised =
       m_fenced_incarnation == m_report->incarnation && m_confirmed_fence > claim.fence;
--- a/Source/UnitTests/Crashes/CrashLedgerTest.cpp
+++ b/Source/UnitTests/Crashes/CrashLedgerTest.cpp
@@ -37,7 +37,7 @@
   CPPUNIT_TEST(BystanderIsNotBlocked);
   CPPUNIT_TEST(EarlierSuccessLiftsTheBlock);
   CPPUNIT_TEST(SimultaneousCrashesCountOnce);
-  CPPUNIT_TEST(TwoSimultaneousCrashersAreBothBlocked);
+  CPPUNIT_TEST(TwoSimultaneousCrashingRequestsAreBothBlocked);
   CPPUNIT_TEST(ExpiredBlockDoublesAfterOneMoreCrash);
   CPPUNIT_TEST(NumberOfCasesIsBounded);
   CPPUNIT_TEST(CrashesFromBeforeTheBootCount);
@@ -196,7 +196,7 @@
     CPPUNIT_ASSERT(!IsBlocked(ledger, BYSTANDER));
   }
 
-  void TwoSimultaneousCrashersAreBothBlocked()
+  void TwoSimultaneousCrashingRequestsAreBothBlocked()
   {
     CrashLedger ledger;
     for (int instance = 1; instance <= 3; ++instance)
--- a/Source/UnitTests/Crashes/CrashReplayTest.cpp
+++ b/Source/UnitTests/Crashes/CrashReplayTest.cpp
@@ -38,9 +38,9 @@
 constexpr Milliseconds MESSAGE_DELAY{300};
 constexpr Milliseconds SERVER_DOWN{4000};
 constexpr std::uint64_t HARMLESS_GAP_MS = 15; ///< About 65 per second.
-constexpr std::uint64_t CRASHER_GAP_MS = 500;
-constexpr Milliseconds HARMLESS_RUN{800};
-constexpr Milliseconds CRASHER_RUN{60};
+constexpr std::uint64_t CRASHING_REQUEST_GAP_MS = 500;
+constexpr Milliseconds HARMLESS_RUN_TIME{800};
+constexpr Milliseconds CRASHING_RUN_TIME{60};
 /// Number of distinct harmless requests that are sent repeatedly. They make up half of all harmless
 /// requests.
 constexpr std::uint64_t REPEATED_REQUESTS = 40;
@@ -48,7 +48,7 @@
 
 struct Load
 {
-  std::uint64_t crashers = 3;
+  std::uint64_t crashing_requests = 3;
   /// Time before the first crashing request.
   Milliseconds quiet_period = QUIET_PERIOD;
   /// Mean time between crashes of one server for other reasons; 0: never.
@@ -97,8 +97,9 @@
           ++m_outcome.harmless_refused;
       });
       for (std::uint64_t crasher = 1;
-           m_now > end - DURATION + m_load.quiet_period && crasher <= m_load.crashers; ++crasher)
-        arrive(CRASHER_GAP_MS, [&] {
+           m_now > end - DURATION + m_load.quiet_period && crasher <= m_load.crashing_requests;
+           ++crasher)
+        arrive(CRASHING_REQUEST_GAP_MS, [&] {
           Send({crasher, crasher, crasher}, true, 1, Draw(DAEMONS));
         });
     }
@@ -148,7 +149,7 @@
     if (is_crasher)
       NoteCrasherSend(request);
     const auto queue = Milliseconds(Draw(300));
-    const Milliseconds run = queue + (is_crasher ? CRASHER_RUN : HARMLESS_RUN);
+    const Milliseconds run = queue + (is_crasher ? CRASHING_RUN_TIME : HARMLESS_RUN_TIME);
     up[Draw(up.size())]->runs.push_back({request, is_crasher, sends, daemon, m_now, m_now + run});
     return true;
   }
@@ -301,9 +302,9 @@
 class CrashReplayTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(CrashReplayTest);
-  CPPUNIT_TEST(CrashersOnly);
-  CPPUNIT_TEST(CrashersAmongCrashingServers);
-  CPPUNIT_TEST(CrashersAmongCrashingRacks);
+  CPPUNIT_TEST(CrashingRequestsOnly);
+  CPPUNIT_TEST(CrashingRequestsAmongCrashingServers);
+  CPPUNIT_TEST(CrashingRequestsAmongCrashingRacks);
   CPPUNIT_TEST_SUITE_END();
 
   /// The platform allows three late sends. Fewer than one in a thousand harmless requests may be
@@ -325,13 +326,13 @@
     }
   }
 
-  void CrashersOnly() { Check("crashing requests alone", {}); }
-  void CrashersAmongCrashingServers()
+  void CrashingRequestsOnly() { Check("crashing requests alone", {}); }
+  void CrashingRequestsAmongCrashingServers()
   {
     Check("each server crashes every 30 s",
           {3, QUIET_PERIOD, Milliseconds(30000), Milliseconds(0)});
   }
-  void CrashersAmongCrashingRacks()
+  void CrashingRequestsAmongCrashingRacks()
   {
     Check("a rack crashes every 20 s", {3, QUIET_PERIOD, Milliseconds(0), Milliseconds(20000)});
   }
--- a/Source/UnitTests/Decisions/ReconcileTest.cpp
+++ b/Source/UnitTests/Decisions/ReconcileTest.cpp
@@ -63,7 +63,7 @@
   void FencesUnresponsiveHolder()
   {
     ReconcileInput input = Ordered(ReportedState::Absent, OrderStatus::HolderUnresponsive);
-    input.engine_checks_fencing = true;
+    input.server_checks_fencing = true;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::RaiseFence);
     input.fence_raised = true;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::Free);
--- a/Source/UnitTests/Decisions/Replays/Fleet.cpp
+++ b/Source/UnitTests/Decisions/Replays/Fleet.cpp
@@ -198,7 +198,7 @@
 void Fleet::ExpireRequests(std::vector<StreamResult>& results)
 {
   std::erase_if(m_waiting, [&](const Request& request) {
-    if (m_now - request.arrived < m_settings.patience)
+    if (m_now - request.arrived < m_settings.request_timeout)
       return false;
     ++results[request.stream].unserved;
     return true;
--- a/Source/UnitTests/Decisions/Replays/Fleet.h
+++ b/Source/UnitTests/Decisions/Replays/Fleet.h
@@ -58,7 +58,7 @@
   Common::Milliseconds from_disk{640};
   Common::Milliseconds from_store{13200};
   int store_loads_at_once = 2;
-  Common::Milliseconds patience{5600}; ///< A request that waits longer times out.
+  Common::Milliseconds request_timeout{5600}; ///< A request that waits longer times out.
   Common::Milliseconds plan_every{20};
 };
 
--- a/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
+++ b/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
@@ -27,7 +27,7 @@
 using UnitTests::StreamResult;
 
 /// Requests time out after this time, which is shorter than a load from the weight store.
-constexpr Milliseconds PATIENCE{1680};
+constexpr Milliseconds REQUEST_TIMEOUT{1680};
 
 std::string Text(const StreamResult& result)
 {
@@ -43,7 +43,7 @@
   settings.from_disk = Milliseconds(500);
   settings.from_store = Milliseconds(6000);
   settings.store_loads_at_once = 4;
-  settings.patience = PATIENCE;
+  settings.request_timeout = REQUEST_TIMEOUT;
   settings.server_mb = 199472;
   return settings;
 }
--- a/Source/UnitTests/Decisions/WaitForLoadTest.cpp
+++ b/Source/UnitTests/Decisions/WaitForLoadTest.cpp
@@ -14,7 +14,7 @@
 {
   WaitForLoadInput input;
   input.until_deadline = Milliseconds(20000);
-  input.patience = Milliseconds(8000);
+  input.idle_timeout = Milliseconds(8000);
   input.nearest = WeightSource::WeightStore;
   input.from_store = Milliseconds(13200);
   return input;
@@ -32,7 +32,7 @@
   {
     WaitForLoadInput input = InStoreOnly();
     CPPUNIT_ASSERT(RetryAfterIfRefused(input) == Milliseconds(13200));
-    input.patience = Milliseconds(60000);
+    input.idle_timeout = Milliseconds(60000);
     CPPUNIT_ASSERT(!RetryAfterIfRefused(input));
     input.until_deadline = Milliseconds(3000);
     CPPUNIT_ASSERT(RetryAfterIfRefused(input) == Milliseconds(13200));
--- a/Source/UnitTests/Gateway/DrainStateTest.cpp
+++ b/Source/UnitTests/Gateway/DrainStateTest.cpp
@@ -123,7 +123,7 @@
     const ServerPtr next = directory.FindLatest(InstanceId("i-1"));
     CPPUNIT_ASSERT(next->GetBackoff().IsRetryAfterActive(announced_at));
     next->Drain().NoteAnnounced(announced_at + GRACE * 2);
-    CPPUNIT_ASSERT(!next->TakesWork(announced_at + GRACE * 2));
+    CPPUNIT_ASSERT(!next->AcceptsRequests(announced_at + GRACE * 2));
   }
 
   void OldEntriesExpireAndAreNotAnnouncedAgain()
--- a/Source/UnitTests/Gateway/PartsTest.cpp
+++ b/Source/UnitTests/Gateway/PartsTest.cpp
@@ -25,7 +25,7 @@
   CPPUNIT_TEST(BudgetCountsOwnRequestsAndAShareOfTheSlack);
   CPPUNIT_TEST(FailingServerIsEjectedAndThenProbedWithOneRequest);
   CPPUNIT_TEST(TheLongestPrefixOfTheHostWins);
-  CPPUNIT_TEST(LapsedEntryIsRemovedAfterTheGracePeriod);
+  CPPUNIT_TEST(ExpiredEntryIsRemovedAfterTheGracePeriod);
   CPPUNIT_TEST(RemovalIsImmediateWhileTheSourceIsConnected);
   CPPUNIT_TEST(DrainingServerIsRemovedWithoutGracePeriod);
   CPPUNIT_TEST_SUITE_END();
@@ -114,7 +114,7 @@
     return entry;
   }
 
-  void LapsedEntryIsRemovedAfterTheGracePeriod()
+  void ExpiredEntryIsRemovedAfterTheGracePeriod()
   {
     ServerDirectory directory;
     ServerDiscovery discovery(directory);
--- a/Source/UnitTests/Gateway/RelayTest.cpp
+++ b/Source/UnitTests/Gateway/RelayTest.cpp
@@ -34,10 +34,10 @@
 class RelayTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RelayTest);
-  CPPUNIT_TEST(PassesRequestAndAnswerUnchanged);
+  CPPUNIT_TEST(PassesRequestAndResponseUnchanged);
   CPPUNIT_TEST(UnknownPathIs404);
   CPPUNIT_TEST(RefusesWithoutConfiguration);
-  CPPUNIT_TEST(SkipsAnAnswerToAnotherRequest);
+  CPPUNIT_TEST(SkipsAResponseToAnotherRequest);
   CPPUNIT_TEST(BytesAfterAResponseAreDiscarded);
   CPPUNIT_TEST(RepeatableRequestIsRetriedAfterABrokenResponse);
   CPPUNIT_TEST(UnrepeatableRequestIsNotRetriedAfterABrokenResponse);
@@ -48,12 +48,12 @@
   CPPUNIT_TEST(StreamIsResumedAtAnotherServer);
   CPPUNIT_TEST(BrokenUnresumableStreamClosesTheCallerConnection);
   CPPUNIT_TEST(IncompleteEventIsNotForwarded);
-  CPPUNIT_TEST(SilentStreamOfAnUnlistedServerEnds);
+  CPPUNIT_TEST(StalledStreamOfAnUnlistedServerEnds);
   CPPUNIT_TEST(StreamOfARestartedServerEndsAndIsNotRetried);
-  CPPUNIT_TEST(SilentStreamOfAListedServerContinues);
+  CPPUNIT_TEST(StalledStreamOfAListedServerContinues);
   CPPUNIT_TEST(CallerDisconnectCancelsTheRequest);
   CPPUNIT_TEST(ForwardsTheRemainingTime);
-  CPPUNIT_TEST(AnswersAtTheDeadline);
+  CPPUNIT_TEST(RespondsAtTheDeadline);
   CPPUNIT_TEST(ServerIsNotUsedAfterAnotherProcessResponds);
   CPPUNIT_TEST(UnreachableServerDoesNotCountAsAnAttempt);
   CPPUNIT_TEST(RequestIsRefusedAtOnceIfTheLoadWouldBeTooLate);
@@ -108,7 +108,7 @@
     CPPUNIT_ASSERT(world.caller.received.empty());
   }
 
-  void PassesRequestAndAnswerUnchanged()
+  void PassesRequestAndResponseUnchanged()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write("HTTP/1.1 201 Fine\r\nReq-Id: " + HeaderOf(head, "Req-Id") +
@@ -146,7 +146,7 @@
     Http::TcpListener listener;
     CPPUNIT_ASSERT(static_cast<bool>(listener.Listen(Http::Endpoint{htonl(INADDR_LOOPBACK), 0},
                                                      [&](int fd, const Http::Endpoint&) {
-                                                       dispatcher.Adopt(fd);
+                                                       dispatcher.AcceptConnection(fd);
                                                      })));
     TestPeer caller;
     caller.stream = Http::TcpStream::Connect(listener.Local(), &caller);
@@ -157,7 +157,7 @@
     CPPUNIT_ASSERT(!HeaderOf(caller.received, "Retry-After").empty());
   }
 
-  void SkipsAnAnswerToAnotherRequest()
+  void SkipsAResponseToAnotherRequest()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(
@@ -352,7 +352,7 @@
     CPPUNIT_ASSERT(world.caller.received.find("id: 2") == std::string::npos);
   }
 
-  void SilentStreamOfAnUnlistedServerEnds()
+  void StalledStreamOfAnUnlistedServerEnds()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1)));
@@ -397,7 +397,7 @@
     CPPUNIT_ASSERT_EQUAL(1, requests);
   }
 
-  void SilentStreamOfAListedServerContinues()
+  void StalledStreamOfAListedServerContinues()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1)));
@@ -444,7 +444,7 @@
     CPPUNIT_ASSERT(std::stoi(HeaderOf(server.requests.at(1), "Left-Ms")) <= 1500);
   }
 
-  void AnswersAtTheDeadline()
+  void RespondsAtTheDeadline()
   {
     TestServer server([](TestPeer&, const std::string&) {});
     World world;
--- a/Source/UnitTests/Gateway/ServerRestartTest.cpp
+++ b/Source/UnitTests/Gateway/ServerRestartTest.cpp
@@ -18,13 +18,13 @@
 {
 using namespace Gateway;
 
-/// The entry of the instance of server i-1 that started at `born`.
-ServerEntry EntryOf(std::int64_t born, const std::string& models)
+/// The entry of the instance of server i-1 that started at `started`.
+ServerEntry EntryOf(std::int64_t started, const std::string& models)
 {
   const auto entry = PlatformAdapter::DecodeServerEntry(
       "i-1",
       R"({"service":"s","address":"10.0.0.9:80","zone":"z","slots":8,"state":"ready","born":)" +
-          std::to_string(born) + R"(,"models":[)" + models + R"(],"seq":1})");
+          std::to_string(started) + R"(,"models":[)" + models + R"(],"seq":1})");
   CPPUNIT_ASSERT(static_cast<bool>(entry));
   return *entry;
 }
--- a/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
+++ b/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
@@ -17,22 +17,22 @@
 class SilenceDetectorTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(SilenceDetectorTest);
-  CPPUNIT_TEST(ServerWithoutPendingRequestsIsNotSilent);
+  CPPUNIT_TEST(ServerWithoutPendingRequestsIsNotUnresponsive);
   CPPUNIT_TEST(SilenceStartsAtTheOldestPendingRequest);
   CPPUNIT_TEST(SinglePendingRequestIsNoSilence);
   CPPUNIT_TEST(AnyReceivedDataEndsTheSilence);
   CPPUNIT_TEST(LimitAdaptsToObservedPauses);
-  CPPUNIT_TEST(SilentServerGetsNoNewRequests);
-  CPPUNIT_TEST(ServerThatIsSilentToItsLastRequestIsEjected);
+  CPPUNIT_TEST(UnresponsiveServerGetsNoNewRequests);
+  CPPUNIT_TEST(ServerUnresponsiveToItsLastRequestIsEjected);
   CPPUNIT_TEST_SUITE_END();
 
-  void ServerWithoutPendingRequestsIsNotSilent()
+  void ServerWithoutPendingRequestsIsNotUnresponsive()
   {
     SilenceDetector detector;
-    CPPUNIT_ASSERT(!detector.IsSilent(NOW));
+    CPPUNIT_ASSERT(!detector.IsUnresponsive(NOW));
     detector.NoteSent(NOW);
     detector.NoteEnded(0);
-    CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(10000)));
+    CPPUNIT_ASSERT(!detector.IsUnresponsive(NOW + Milliseconds(10000)));
   }
 
   void SilenceStartsAtTheOldestPendingRequest()
@@ -40,15 +40,15 @@
     SilenceDetector detector;
     detector.NoteSent(NOW);
     detector.NoteSent(NOW + Milliseconds(250));
-    CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(300)));
-    CPPUNIT_ASSERT(detector.IsSilent(NOW + Milliseconds(301)));
+    CPPUNIT_ASSERT(!detector.IsUnresponsive(NOW + Milliseconds(300)));
+    CPPUNIT_ASSERT(detector.IsUnresponsive(NOW + Milliseconds(301)));
   }
 
   void SinglePendingRequestIsNoSilence()
   {
     SilenceDetector detector;
     detector.NoteSent(NOW);
-    CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(5000)));
+    CPPUNIT_ASSERT(!detector.IsUnresponsive(NOW + Milliseconds(5000)));
     Server server(ServerEntry{});
     server.NoteStart({}, NOW);
     server.NoteEnd({}, NOW, NOW + Milliseconds(1100));
@@ -61,7 +61,7 @@
     detector.NoteSent(NOW);
     detector.NoteSent(NOW);
     detector.NoteReceived(NOW + Milliseconds(400));
-    CPPUNIT_ASSERT(!detector.IsSilent(NOW + Milliseconds(500)));
+    CPPUNIT_ASSERT(!detector.IsUnresponsive(NOW + Milliseconds(500)));
   }
 
   void LimitAdaptsToObservedPauses()
@@ -81,7 +81,7 @@
     CPPUNIT_ASSERT_EQUAL(Milliseconds(1500).count(), slow.Limit().count());
   }
 
-  void SilentServerGetsNoNewRequests()
+  void UnresponsiveServerGetsNoNewRequests()
   {
     Server server(ServerEntry{});
     server.NoteStart({}, NOW);
@@ -92,7 +92,7 @@
     CPPUNIT_ASSERT(server.IsAvailable(NOW + Milliseconds(500)));
   }
 
-  void ServerThatIsSilentToItsLastRequestIsEjected()
+  void ServerUnresponsiveToItsLastRequestIsEjected()
   {
     Server server(ServerEntry{});
     server.NoteStart({}, NOW);
--- a/Source/UnitTests/Orders/OrderManagerTest.cpp
+++ b/Source/UnitTests/Orders/OrderManagerTest.cpp
@@ -48,7 +48,7 @@
     auto configuration = std::make_shared<Configuration>();
     Pool pool;
     pool.id = PoolId("p");
-    EngineSpec engine;
+    ModelServerSpec engine;
     engine.batch = 8;
     engine.memory_mb = SERVER_MB;
     engine.adapter_slots = 2;
@@ -58,7 +58,7 @@
           ModelId(name), MODEL_MB, Milliseconds(6000), Milliseconds(500), Milliseconds(300), 3, 1};
     engine.models[ModelId("large")] = {
         ModelId("large"), LARGE_MB, Milliseconds(6000), Milliseconds(500), Milliseconds(300), 0, 1};
-    pool.engine = engine;
+    pool.model_server = engine;
     configuration->pools[pool.id] = pool;
     order_manager.SetConfiguration(configuration);
     order_manager.SetPermission([this]() -> std::optional<OrderPermit> {
--- a/Source/UnitTests/Orders/PlanInputBuilderTest.cpp
+++ b/Source/UnitTests/Orders/PlanInputBuilderTest.cpp
@@ -29,12 +29,12 @@
   {
     Gateway::Pool pool;
     pool.id = Gateway::PoolId("p");
-    Gateway::EngineSpec engine;
+    Gateway::ModelServerSpec engine;
     engine.batch = 8;
     engine.memory_mb = 200;
     for (const char* name : {"wanted", "other"})
       engine.models[ModelId(name)] = {ModelId(name), 70, FROM_STORE, FROM_DISK, FROM_DISK, 0, 1};
-    pool.engine = engine;
+    pool.model_server = engine;
     builder.Configure(pool);
     builder.SetServers({MakeServer("busy", true), MakeServer("idle", false)}, m_in_flight_totals);
     for (const auto server : {BUSY, IDLE})
--- a/Source/UnitTests/Orders/ServerRestartOrdersTest.cpp
+++ b/Source/UnitTests/Orders/ServerRestartOrdersTest.cpp
@@ -45,14 +45,14 @@
     auto configuration = std::make_shared<Configuration>();
     Pool pool;
     pool.id = PoolId("s");
-    EngineSpec engine;
+    ModelServerSpec engine;
     engine.batch = 8;
     engine.memory_mb = 150;
     engine.loads_per_second = 3;
     for (const char* name : {"a", "b", "c", "d"})
       engine.models[ModelId(name)] = {
           ModelId(name), 70, Milliseconds(6000), Milliseconds(500), Milliseconds(300), 0, 1};
-    pool.engine = engine;
+    pool.model_server = engine;
     configuration->pools[pool.id] = pool;
     order_manager.SetConfiguration(configuration);
     order_manager.SetPermission([this]() -> std::optional<OrderPermit> {
--- a/Source/UnitTests/Platform/DecodeTest.cpp
+++ b/Source/UnitTests/Platform/DecodeTest.cpp
@@ -99,7 +99,7 @@
     CPPUNIT_ASSERT(route.repeatability == Gateway::Repeatability::Streaming);
     CPPUNIT_ASSERT(route.IsRepeatable() && route.uses_model);
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), route.pools.size());
-    const Gateway::EngineSpec& engine = *value.pools.at(Gateway::PoolId("s")).engine;
+    const Gateway::ModelServerSpec& engine = *value.pools.at(Gateway::PoolId("s")).model_server;
     CPPUNIT_ASSERT_EQUAL(230000.0, engine.memory_mb);
     const Gateway::ModelSpec& model = engine.models.at(Gateway::ModelId("m"));
     CPPUNIT_ASSERT_EQUAL(72700.0, model.memory_mb);
--- a/Source/UnitTests/RateLimits/LimitRegistryTest.cpp
+++ b/Source/UnitTests/RateLimits/LimitRegistryTest.cpp
@@ -24,8 +24,8 @@
 {
   CPPUNIT_TEST_SUITE(LimitRegistryTest);
   CPPUNIT_TEST(LowerLimitAppliesImmediately);
-  CPPUNIT_TEST(AnswerInFlightDoesNotEndLimit);
-  CPPUNIT_TEST(UnreadableAnswerChangesNothing);
+  CPPUNIT_TEST(ResponseInFlightDoesNotEndLimit);
+  CPPUNIT_TEST(UnreadableLimitChangesNothing);
   CPPUNIT_TEST(HolderAnnouncesLimitReadByOneDaemon);
   CPPUNIT_TEST(IgnoresEndOlderThanLimit);
   CPPUNIT_TEST(IgnoresEndReadBySuspendedDaemon);
@@ -54,36 +54,36 @@
     LimitRegistry registry;
     const auto sent_before = m_now;
     Pass(Milliseconds(10));
-    CPPUNIT_ASSERT(registry.NoteAnswer(SERVER, Limited(3), sent_before, m_now));
+    CPPUNIT_ASSERT(registry.NoteResponse(SERVER, Limited(3), sent_before, m_now));
     // Sent before the first limit was known, and lower.
-    CPPUNIT_ASSERT(registry.NoteAnswer(SERVER, Limited(1), sent_before, m_now));
+    CPPUNIT_ASSERT(registry.NoteResponse(SERVER, Limited(1), sent_before, m_now));
     CPPUNIT_ASSERT(registry.CurrentLimit(SERVER) == RequestRate(1000));
-    CPPUNIT_ASSERT(!registry.NoteAnswer(SERVER, Limited(3), sent_before, m_now));
+    CPPUNIT_ASSERT(!registry.NoteResponse(SERVER, Limited(3), sent_before, m_now));
     CPPUNIT_ASSERT(registry.CurrentLimit(SERVER) == RequestRate(1000));
   }
 
-  void AnswerInFlightDoesNotEndLimit()
+  void ResponseInFlightDoesNotEndLimit()
   {
     LimitRegistry registry;
     const auto sent_before = m_now;
     Pass(Milliseconds(10));
-    registry.NoteAnswer(SERVER, Limited(1), sent_before, m_now);
+    registry.NoteResponse(SERVER, Limited(1), sent_before, m_now);
     Pass(Milliseconds(500));
-    CPPUNIT_ASSERT(!registry.NoteAnswer(SERVER, NONE, sent_before, m_now));
+    CPPUNIT_ASSERT(!registry.NoteResponse(SERVER, NONE, sent_before, m_now));
     CPPUNIT_ASSERT(registry.CurrentLimit(SERVER));
     const auto sent_after = m_now;
     Pass(Milliseconds(10));
-    CPPUNIT_ASSERT(registry.NoteAnswer(SERVER, NONE, sent_after, m_now));
+    CPPUNIT_ASSERT(registry.NoteResponse(SERVER, NONE, sent_after, m_now));
     CPPUNIT_ASSERT(!registry.CurrentLimit(SERVER));
   }
 
-  void UnreadableAnswerChangesNothing()
+  void UnreadableLimitChangesNothing()
   {
     LimitRegistry registry;
-    CPPUNIT_ASSERT(!registry.NoteAnswer(SERVER, {false, std::nullopt}, m_now, m_now));
-    registry.NoteAnswer(SERVER, Limited(1), m_now, m_now);
+    CPPUNIT_ASSERT(!registry.NoteResponse(SERVER, {false, std::nullopt}, m_now, m_now));
+    registry.NoteResponse(SERVER, Limited(1), m_now, m_now);
     Pass(Milliseconds(100));
-    CPPUNIT_ASSERT(!registry.NoteAnswer(SERVER, {false, std::nullopt}, m_now, m_now));
+    CPPUNIT_ASSERT(!registry.NoteResponse(SERVER, {false, std::nullopt}, m_now, m_now));
     CPPUNIT_ASSERT(registry.CurrentLimit(SERVER) == RequestRate(1000));
   }
 
@@ -94,7 +94,7 @@
     LimitRegistry other;
     holder.BeginTenure(1);
     Announce(holder, 1, reader);
-    reader.NoteAnswer(SERVER, Limited(1), m_now, m_now);
+    reader.NoteResponse(SERVER, Limited(1), m_now, m_now);
     Report(reader, 1, holder);
     Announce(holder, 1, other);
     Announce(holder, 1, reader);
@@ -103,7 +103,7 @@
     // The other daemon reads that the limit has ended.
     const auto sent = m_now + Milliseconds(1);
     Pass(Milliseconds(20));
-    other.NoteAnswer(SERVER, NONE, sent, m_now);
+    other.NoteResponse(SERVER, NONE, sent, m_now);
     Report(other, 1, holder);
     Announce(holder, 1, reader);
     CPPUNIT_ASSERT(!reader.CurrentLimit(SERVER));
@@ -116,7 +116,7 @@
     LimitRegistry first;
     LimitRegistry second;
     holder.BeginTenure(1);
-    first.NoteAnswer(SERVER, Limited(2), m_now, m_now);
+    first.NoteResponse(SERVER, Limited(2), m_now, m_now);
     Report(first, 1, holder);
     Announce(holder, 1, first);
     Announce(holder, 1, second);
@@ -125,9 +125,9 @@
     // The first daemon reads 1 per second, and the holder learns it. The second daemon read before
     // that there is no limit, but its message arrives later.
     Pass(Milliseconds(10));
-    second.NoteAnswer(SERVER, NONE, sent, m_now);
+    second.NoteResponse(SERVER, NONE, sent, m_now);
     const auto late = second.Unconfirmed(m_now);
-    first.NoteAnswer(SERVER, Limited(1), sent, m_now);
+    first.NoteResponse(SERVER, Limited(1), sent, m_now);
     Report(first, 1, holder);
     holder.ApplyObservations(1, late, m_now);
     CPPUNIT_ASSERT(holder.CurrentLimit(SERVER) == RequestRate(1000));
@@ -140,10 +140,10 @@
     LimitRegistry holder;
     LimitRegistry daemon;
     holder.BeginTenure(1);
-    holder.NoteAnswer(SERVER, Limited(1), m_now, m_now);
+    holder.NoteResponse(SERVER, Limited(1), m_now, m_now);
     Announce(holder, 1, daemon);
     Pass(Milliseconds(10));
-    daemon.NoteAnswer(SERVER, NONE, m_now, m_now + Milliseconds(1));
+    daemon.NoteResponse(SERVER, NONE, m_now, m_now + Milliseconds(1));
     Pass(Milliseconds(5000));
     Report(daemon, 1, holder);
     CPPUNIT_ASSERT(holder.CurrentLimit(SERVER));
@@ -158,7 +158,7 @@
     LimitRegistry second;
     LimitRegistry daemon;
     first.BeginTenure(1);
-    first.NoteAnswer(SERVER, Limited(1), m_now, m_now);
+    first.NoteResponse(SERVER, Limited(1), m_now, m_now);
     Announce(first, 1, daemon);
     // The second has just started.
     second.BeginTenure(2);
@@ -175,10 +175,10 @@
     LimitRegistry holder;
     LimitRegistry daemon;
     holder.BeginTenure(4);
-    holder.NoteAnswer(SERVER, Limited(1), m_now, m_now);
+    holder.NoteResponse(SERVER, Limited(1), m_now, m_now);
     const auto old_update = holder.NextUpdate(ALL_LINES, m_now);
     Pass(Milliseconds(10));
-    holder.NoteAnswer(SERVER, Limited(5), m_now, m_now + Milliseconds(1));
+    holder.NoteResponse(SERVER, Limited(5), m_now, m_now + Milliseconds(1));
     const auto update = holder.NextUpdate(ALL_LINES, m_now);
     daemon.ApplyUpdate(4, update, m_now);
     daemon.ApplyUpdate(4, old_update, m_now);
@@ -195,7 +195,7 @@
     LimitRegistry daemon;
     holder.BeginTenure(1);
     for (int i = 0; i < SERVERS; ++i)
-      holder.NoteAnswer(ServerKey(i * 3), Limited(1), m_now, m_now);
+      holder.NoteResponse(ServerKey(i * 3), Limited(1), m_now, m_now);
     for (int part = 0; part < 4; ++part)
       daemon.ApplyUpdate(1, holder.NextUpdate(PART, m_now), m_now);
     for (int i = 0; i < SERVERS; ++i)
@@ -214,10 +214,10 @@
     LimitRegistry holder;
     LimitRegistry daemon;
     holder.BeginTenure(1);
-    holder.NoteAnswer(SERVER, Limited(1), m_now, m_now);
+    holder.NoteResponse(SERVER, Limited(1), m_now, m_now);
     Announce(holder, 1, daemon);
     Pass(Milliseconds(10));
-    holder.NoteAnswer(SERVER, NONE, m_now, m_now + Milliseconds(1));
+    holder.NoteResponse(SERVER, NONE, m_now, m_now + Milliseconds(1));
     Pass(Milliseconds(20000));
     Announce(holder, 1, daemon);
     CPPUNIT_ASSERT(!daemon.CurrentLimit(SERVER));
--- a/Source/UnitTests/RateLimits/PermitReplayTest.cpp
+++ b/Source/UnitTests/RateLimits/PermitReplayTest.cpp
@@ -32,8 +32,8 @@
 constexpr ServerKey SERVER{7};
 constexpr Milliseconds STEP{10};
 constexpr Milliseconds WINDOW{4000};
-constexpr Milliseconds PATIENCE{1400};
-constexpr Milliseconds ASK_EVERY{150};
+constexpr Milliseconds REQUEST_TIMEOUT{1400};
+constexpr Milliseconds DEMAND_INTERVAL{150};
 constexpr Milliseconds HEARTBEAT{250};
 constexpr Milliseconds HOLDER_LOST_FOR{4500};
 constexpr std::uint64_t LOST_PERCENT = 2;
@@ -229,9 +229,9 @@
   {
     Daemon& daemon = m_daemons[index];
     daemon.reported = waiting;
-    daemon.next_ask = m_simulation.now + ASK_EVERY;
+    daemon.next_ask = m_simulation.now + DEMAND_INTERVAL;
     daemon.asked_at[++daemon.sequence] = m_simulation.now;
-    PermitDemand demand{SERVER, waiting, 5, PATIENCE.count()};
+    PermitDemand demand{SERVER, waiting, 5, REQUEST_TIMEOUT.count()};
     demand.unused = daemon.permits.TakeUnused(SERVER, m_simulation.now);
     m_simulation.Send(m_holder, [this, index, demand, run = daemon.run, sequence = daemon.sequence,
                                  holder = m_holder] {
@@ -388,7 +388,7 @@
       auto& queue = waiting[daemon];
       if (queue.empty())
         active.erase(daemon);
-      while (!queue.empty() && simulation.now - queue.front() > PATIENCE)
+      while (!queue.empty() && simulation.now - queue.front() > REQUEST_TIMEOUT)
         queue.pop_front();
       if (!way.MaySend(daemon, static_cast<std::uint32_t>(queue.size())))
         continue;
@@ -405,7 +405,7 @@
   CPPUNIT_TEST(ServerReceivesItsLimitUnderLoad);
   CPPUNIT_TEST(WindowsStayWithinBoundUnderFaults);
   CPPUNIT_TEST(EqualSharesOfManyDaemonsExceedBound);
-  CPPUNIT_TEST(SendersOnBothSidesOfCutExceedBound);
+  CPPUNIT_TEST(SendersOnBothSidesOfPartitionExceedBound);
   CPPUNIT_TEST_SUITE_END();
 
   static constexpr int SEEDS = 3;
@@ -457,7 +457,7 @@
     CPPUNIT_ASSERT(Worst<LeasedPermits>(load).WorstWindow() <= Allowed(load.rate));
   }
 
-  void SendersOnBothSidesOfCutExceedBound()
+  void SendersOnBothSidesOfPartitionExceedBound()
   {
     const Load load{77, 5, 40, Milliseconds(60000), true};
     CPPUNIT_ASSERT(Worst<SingleSender>(load).WorstWindow() > Allowed(load.rate));
--- a/Source/UnitTests/Support/LimitedFleet.cpp
+++ b/Source/UnitTests/Support/LimitedFleet.cpp
@@ -116,7 +116,7 @@
   dispatcher.SetConfiguration(OnePlainRoute());
   const auto listening = m_listener.Listen(Http::Endpoint{htonl(INADDR_LOOPBACK), 0},
                                            [this](int fd, const Http::Endpoint&) {
-                                             dispatcher.Adopt(fd);
+                                             dispatcher.AcceptConnection(fd);
                                            });
   CPPUNIT_ASSERT(static_cast<bool>(listening));
   CPPUNIT_ASSERT(static_cast<bool>(hub.Start()));
--- a/Source/UnitTests/Support/RelayWorld.h
+++ b/Source/UnitTests/Support/RelayWorld.h
@@ -107,7 +107,7 @@
     dispatcher.SetConfiguration(configuration);
     const auto listening = m_listener.Listen(Http::Endpoint{htonl(INADDR_LOOPBACK), 0},
                                              [this](int fd, const Http::Endpoint&) {
-                                               dispatcher.Adopt(fd);
+                                               dispatcher.AcceptConnection(fd);
                                              });
     CPPUNIT_ASSERT(static_cast<bool>(listening));
     caller.stream = Http::TcpStream::Connect(m_listener.Local(), &caller);
@@ -122,9 +122,9 @@
     configuration->routes.back().uses_model = true;
     configuration->routes[1].uses_model = true;
     configuration->routes[1].timeout = Milliseconds(8000);
-    EngineSpec engine;
+    ModelServerSpec engine;
     engine.models[ModelId("m")].load_from_store = from_store;
-    configuration->pools[PoolId("pool")].engine = engine;
+    configuration->pools[PoolId("pool")].model_server = engine;
     dispatcher.SetConfiguration(configuration);
   }
 
