--- a/Source/Core/Gateway/LimitedServers.cpp
+++ b/Source/Core/Gateway/LimitedServers.cpp
@@ -19,7 +19,7 @@
 /// The longest time that RetryDelay() returns.
 constexpr Milliseconds MAX_RETRY_DELAY{10000};
 
-/// How long a queue position is used: the lease holder sends it in every answer to this daemon's
+/// How long a queue position is used: the lease holder sends it in every reply to this daemon's
 /// periodic permit requests.
 constexpr Milliseconds QUEUE_POSITION_LIFETIME{300};
 /// How long the time of the next free permit is used: the lease holder announces it twice within
--- a/Source/UnitTests/Gateway/BackoffTest.cpp
+++ b/Source/UnitTests/Gateway/BackoffTest.cpp
@@ -220,8 +220,8 @@
   void LimitAndBackoffBothApply()
   {
     TestServer server([&](TestPeer& peer, const std::string& head) {
-      std::string answer = Rejection(head, "30");
-      peer.stream->Write(answer.insert(answer.find("\r\n") + 2, "Limit: 0.5\r\n"));
+      std::string response = Rejection(head, "30");
+      peer.stream->Write(response.insert(response.find("\r\n") + 2, "Limit: 0.5\r\n"));
     });
     World world;
     world.AddServer("i-1", server.Address());
--- a/Source/UnitTests/Gateway/CrashingRequestsTest.cpp
+++ b/Source/UnitTests/Gateway/CrashingRequestsTest.cpp
@@ -26,9 +26,9 @@
 using UnitTests::TestPeer;
 using UnitTests::TestServer;
 
-constexpr const char* CRASHER = "/plain/crash";
+constexpr const char* CRASHING_PATH = "/plain/crash";
 /// On a route that is not repeatable: each attempt reaches only one server.
-constexpr const char* ONCE_CRASHER = "/once/crash";
+constexpr const char* UNREPEATABLE_CRASHING_PATH = "/once/crash";
 constexpr const char* HONEST = "/plain/honest";
 
 /// Servers that crash as soon as they run the crashing request, and then refuse connections.
@@ -106,17 +106,17 @@
     RelayWorld world;
     CrashingServers crashing_servers(world, 10);
     for (int i = 0; i < 3; ++i)
-      CPPUNIT_ASSERT_EQUAL(
-          std::string("502"),
-          SendAndWait(world, ONCE_CRASHER, "crash-" + std::to_string(i)).substr(9, 3));
+      CPPUNIT_ASSERT_EQUAL(std::string("502"), SendAndWait(world, UNREPEATABLE_CRASHING_PATH,
+                                                           "crash-" + std::to_string(i))
+                                                   .substr(9, 3));
     CPPUNIT_ASSERT(RunUntil([&] {
       return world.dispatcher.CrashCases().Blocked(Common::Now()) == 1;
     }));
     const auto begin = Common::Now();
-    const std::string answer = SendAndWait(world, ONCE_CRASHER, "crash-4");
-    CPPUNIT_ASSERT_EQUAL(std::string("503"), answer.substr(9, 3));
+    const std::string response = SendAndWait(world, UNREPEATABLE_CRASHING_PATH, "crash-4");
+    CPPUNIT_ASSERT_EQUAL(std::string("503"), response.substr(9, 3));
     CPPUNIT_ASSERT(Common::Now() - begin < Milliseconds(200));
-    CPPUNIT_ASSERT(std::stod(HeaderOf(answer, "Retry-After")) > 500);
+    CPPUNIT_ASSERT(std::stod(HeaderOf(response, "Retry-After")) > 500);
   }
 
   void RequestWithAnotherBodyIsNotBlocked()
@@ -169,7 +169,7 @@
     RelayWorld world;
     CrashingServers crashing_servers(world, 10);
     for (int i = 0; i < 6; ++i)
-      SendAndWait(world, CRASHER, "crash-" + std::to_string(i));
+      SendAndWait(world, CRASHING_PATH, "crash-" + std::to_string(i));
     CPPUNIT_ASSERT_EQUAL(3, crashing_servers.crashed);
     CPPUNIT_ASSERT_EQUAL(3, crashing_servers.crasher_arrivals);
     CPPUNIT_ASSERT(SendAndWait(world, HONEST, "honest").find("whole") != std::string::npos);
--- a/Source/UnitTests/Gateway/DrainingServersTest.cpp
+++ b/Source/UnitTests/Gateway/DrainingServersTest.cpp
@@ -25,9 +25,9 @@
 
 const InstanceId FIRST("i-1");
 
-std::string With(const std::string& header, std::string answer)
+std::string WithHeader(const std::string& header, std::string response)
 {
-  return answer.insert(answer.find("\r\n") + 2, header + "\r\n");
+  return response.insert(response.find("\r\n") + 2, header + "\r\n");
 }
 
 class DrainingServersTest : public CppUnit::TestFixture
@@ -55,7 +55,7 @@
   void AnnouncementInTheHeadOfAStreamApplies()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
-      peer.stream->Write(With("Leaving: 1", StreamHead(head)) + Chunk(Event(1)));
+      peer.stream->Write(WithHeader("Leaving: 1", StreamHead(head)) + Chunk(Event(1)));
     });
     World world;
     world.AddServer("i-1", server.Address());
@@ -78,8 +78,8 @@
   void AnnouncementInATruncatedResponseApplies()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
-      const std::string answer = With("Leaving: 1", Answer(head, "whole"));
-      peer.stream->Write(answer.substr(0, answer.size() - 2));
+      const std::string response = WithHeader("Leaving: 1", Answer(head, "whole"));
+      peer.stream->Write(response.substr(0, response.size() - 2));
       peer.stream->Close();
     });
     World world;
@@ -102,7 +102,7 @@
   void AnnouncementOfAnotherProcessIsIgnored()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
-      peer.stream->Write(With("Leaving: 1\r\nInstance: i-9", Answer(head, "ok")));
+      peer.stream->Write(WithHeader("Leaving: 1\r\nInstance: i-9", Answer(head, "ok")));
     });
     World world;
     world.AddServer("i-1", server.Address());
@@ -115,7 +115,7 @@
   void OnlyServerServesUntilTheGracePeriodEnds()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
-      peer.stream->Write(With("Leaving: 1", Answer(head, HeaderOf(head, "Req-Id"))));
+      peer.stream->Write(WithHeader("Leaving: 1", Answer(head, HeaderOf(head, "Req-Id"))));
     });
     World world;
     world.AddServer("i-1", server.Address());
@@ -134,7 +134,7 @@
   void EntryDoesNotOverrideTheAnnouncement()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
-      peer.stream->Write(With("Leaving: 1", Answer(head, "ok")));
+      peer.stream->Write(WithHeader("Leaving: 1", Answer(head, "ok")));
     });
     World world;
     world.AddServer("i-1", server.Address());
--- a/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
+++ b/Source/UnitTests/Gateway/SilenceDetectorTest.cpp
@@ -101,11 +101,11 @@
     server.NoteEnd({}, NOW, NOW + Milliseconds(2000));
     CPPUNIT_ASSERT(!server.IsAvailable(NOW + Milliseconds(2001)));
     CPPUNIT_ASSERT(server.Health().IsRecovering());
-    Server answered(ServerEntry{});
-    answered.NoteStart({}, NOW);
-    answered.NoteReceived(NOW + Milliseconds(50));
-    answered.NoteEnd({}, NOW, NOW + Milliseconds(60));
-    CPPUNIT_ASSERT(answered.IsAvailable(NOW + Milliseconds(61)));
+    Server responsive(ServerEntry{});
+    responsive.NoteStart({}, NOW);
+    responsive.NoteReceived(NOW + Milliseconds(50));
+    responsive.NoteEnd({}, NOW, NOW + Milliseconds(60));
+    CPPUNIT_ASSERT(responsive.IsAvailable(NOW + Milliseconds(61)));
   }
 };
 
