--- a/Source/Core/Gateway/ServerDirectory.h
+++ b/Source/Core/Gateway/ServerDirectory.h
@@ -53,14 +53,14 @@
   bool HoldsModel(const ModelId& model) const;
   bool Holds(const Artifact& artifact, Common::TimePoint now) const;
   /// True if the server takes requests now or after a pause.
-  bool TakesWork(Common::TimePoint now) const
+  bool AcceptsRequests(Common::TimePoint now) const
   {
     return !IsReplaced() && Drain().MayServe(now, m_drain_grace);
   }
   /// True if the server can serve a request for the artifact, now or after a short pause.
   bool MayServe(const Artifact& artifact, Common::TimePoint now) const
   {
-    return TakesWork(now) && Holds(artifact, now);
+    return AcceptsRequests(now) && Holds(artifact, now);
   }
   /// Records that the server responded that it does not hold the artifact. It is not tried again
   /// for a while.
@@ -86,7 +86,7 @@
   void ReturnConnection(std::shared_ptr<Http::OriginConnection> connection);
 
   void NoteStart(const Artifact& artifact, Common::TimePoint now);
-  /// Records the end of a request. If the server is silent when its last request ends, it is
+  /// Records the end of a request. If the server is unresponsive when its last request ends, it is
   /// ejected, since the next request sent to it would be lost too.
   void NoteEnd(const Artifact& artifact, Common::TimePoint sent_at, Common::TimePoint now);
   /// Records that data was received from the server.
--- a/Source/Core/Gateway/Types.h
+++ b/Source/Core/Gateway/Types.h
@@ -140,8 +140,8 @@
   double adapter_mb = 0;
 };
 
-/// Properties shared by all model engines of a pool.
-struct EngineSpec
+/// Properties shared by all servers of a pool that run models.
+struct ModelServerSpec
 {
   int batch = 1;               ///< Concurrent requests per server.
   double memory_mb = 0;        ///< Memory for weights and adapters per server.
@@ -155,9 +155,9 @@
   PoolId id;
   std::string health_path;
   int max_connections = 0; ///< Accepted by one server from all callers together.
-  std::optional<EngineSpec> engine;
+  std::optional<ModelServerSpec> model_server;
 
-  /// Returns nullptr if the pool has no engine or the engine does not support the model.
+  /// Returns nullptr if the servers of the pool run no models or do not support this one.
   const ModelSpec* FindModel(const ModelId& model) const;
 };
 
--- a/Source/UnitTests/Decisions/ReconcileTest.cpp
+++ b/Source/UnitTests/Decisions/ReconcileTest.cpp
@@ -63,7 +63,7 @@
   void FencesUnresponsiveHolder()
   {
     ReconcileInput input = Ordered(ReportedState::Absent, OrderStatus::HolderUnresponsive);
-    input.engine_checks_fencing = true;
+    input.server_checks_fencing = true;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::RaiseFence);
     input.fence_raised = true;
     CPPUNIT_ASSERT(Reconcile(input) == ReconcileAction::Free);
@@ -83,7 +83,7 @@
                    ReconcileAction::Free);
   }
 
-  /// Exhaustive over all inputs: a claim is never freed while the engine reports its artifact and
+  /// Exhaustive over all inputs: a claim is never freed while the server reports its artifact and
   /// its order may have been sent.
   void NeverFreesClaimOfReportedArtifact()
   {
--- a/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
+++ b/Source/UnitTests/Decisions/Replays/NeverServedTest.cpp
@@ -6,8 +6,8 @@
 // other models. The model needed 72,700 MB, and no single eviction on that server freed enough:
 // "model-passed-over obstacle=no_room waiting=30 oldest_wait_ms=1857 free_mb=272 needed_mb=72700".
 // A load from the weight store to another server required a request that had waited for 5.5 s, but
-// callers leave a silent stream earlier. Neither a change of the holder nor a restart of all
-// daemons helped.
+// callers disconnect from a stream without data earlier. Neither a change of the holder nor a
+// restart of all daemons helped.
 
 #include <cstddef>
 #include <numeric>
@@ -27,7 +27,7 @@
 using UnitTests::StreamResult;
 
 /// Requests time out after this time, which is shorter than a load from the weight store.
-constexpr Milliseconds PATIENCE{1680};
+constexpr Milliseconds REQUEST_TIMEOUT{1680};
 
 std::string Text(const StreamResult& result)
 {
@@ -43,7 +43,7 @@
   settings.from_disk = Milliseconds(500);
   settings.from_store = Milliseconds(6000);
   settings.store_loads_at_once = 4;
-  settings.patience = PATIENCE;
+  settings.request_timeout = REQUEST_TIMEOUT;
   settings.server_mb = 199472;
   return settings;
 }
--- a/Source/UnitTests/Gateway/RelayTest.cpp
+++ b/Source/UnitTests/Gateway/RelayTest.cpp
@@ -34,10 +34,10 @@
 class RelayTest : public CppUnit::TestFixture
 {
   CPPUNIT_TEST_SUITE(RelayTest);
-  CPPUNIT_TEST(PassesRequestAndAnswerUnchanged);
+  CPPUNIT_TEST(PassesRequestAndResponseUnchanged);
   CPPUNIT_TEST(UnknownPathIs404);
   CPPUNIT_TEST(RefusesWithoutConfiguration);
-  CPPUNIT_TEST(SkipsAnAnswerToAnotherRequest);
+  CPPUNIT_TEST(SkipsAResponseToAnotherRequest);
   CPPUNIT_TEST(BytesAfterAResponseAreDiscarded);
   CPPUNIT_TEST(RepeatableRequestIsRetriedAfterABrokenResponse);
   CPPUNIT_TEST(UnrepeatableRequestIsNotRetriedAfterABrokenResponse);
@@ -48,12 +48,12 @@
   CPPUNIT_TEST(StreamIsResumedAtAnotherServer);
   CPPUNIT_TEST(BrokenUnresumableStreamClosesTheCallerConnection);
   CPPUNIT_TEST(IncompleteEventIsNotForwarded);
-  CPPUNIT_TEST(SilentStreamOfAnUnlistedServerEnds);
+  CPPUNIT_TEST(StalledStreamOfAnUnlistedServerEnds);
   CPPUNIT_TEST(StreamOfARestartedServerEndsAndIsNotRetried);
-  CPPUNIT_TEST(SilentStreamOfAListedServerContinues);
+  CPPUNIT_TEST(StalledStreamOfAListedServerContinues);
   CPPUNIT_TEST(CallerDisconnectCancelsTheRequest);
   CPPUNIT_TEST(ForwardsTheRemainingTime);
-  CPPUNIT_TEST(AnswersAtTheDeadline);
+  CPPUNIT_TEST(RespondsAtTheDeadline);
   CPPUNIT_TEST(ServerIsNotUsedAfterAnotherProcessResponds);
   CPPUNIT_TEST(UnreachableServerDoesNotCountAsAnAttempt);
   CPPUNIT_TEST(RequestIsRefusedAtOnceIfTheLoadWouldBeTooLate);
@@ -65,8 +65,8 @@
   /// Guards against a long wait before a refusal: 352 of 438 bulk requests were refused after 5.6
   /// s, and again when they were retried. They waited for models whose weights are only in the
   /// weight store; a load takes 13.2 s, but callers disconnect after 2 to 8 s without data.
-  /// Immediate refusal raised the share of what callers are owed by 0.096 +- 0.010 (twelve pairs,
-  /// 22 servers, 1,375 models).
+  /// Immediate refusal raised the share of the service due to callers that they received by
+  /// 0.096 +- 0.010 (twelve pairs of runs, 22 servers, 1,375 models).
   void RequestIsRefusedAtOnceIfTheLoadWouldBeTooLate()
   {
     World world;
@@ -96,7 +96,7 @@
     CPPUNIT_ASSERT_EQUAL(1, world.dispatcher.TakeDemand().at(0).waiting);
   }
 
-  /// A caller disconnects from a silent stream, but waits for a complete response until its
+  /// A caller disconnects from a stream without data, but waits for a complete response until its
   /// deadline. A load of 5 s fits into a deadline of 8 s, but not into the 2 s of a stream.
   void NonStreamingRequestWaitsForASlowLoad()
   {
@@ -108,7 +108,7 @@
     CPPUNIT_ASSERT(world.caller.received.empty());
   }
 
-  void PassesRequestAndAnswerUnchanged()
+  void PassesRequestAndResponseUnchanged()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write("HTTP/1.1 201 Fine\r\nReq-Id: " + HeaderOf(head, "Req-Id") +
@@ -146,7 +146,7 @@
     Http::TcpListener listener;
     CPPUNIT_ASSERT(static_cast<bool>(listener.Listen(Http::Endpoint{htonl(INADDR_LOOPBACK), 0},
                                                      [&](int fd, const Http::Endpoint&) {
-                                                       dispatcher.Adopt(fd);
+                                                       dispatcher.AcceptConnection(fd);
                                                      })));
     TestPeer caller;
     caller.stream = Http::TcpStream::Connect(listener.Local(), &caller);
@@ -157,7 +157,7 @@
     CPPUNIT_ASSERT(!HeaderOf(caller.received, "Retry-After").empty());
   }
 
-  void SkipsAnAnswerToAnotherRequest()
+  void SkipsAResponseToAnotherRequest()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(
@@ -352,7 +352,7 @@
     CPPUNIT_ASSERT(world.caller.received.find("id: 2") == std::string::npos);
   }
 
-  void SilentStreamOfAnUnlistedServerEnds()
+  void StalledStreamOfAnUnlistedServerEnds()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1)));
@@ -371,7 +371,7 @@
     CPPUNIT_ASSERT(Common::Now() - begun < Milliseconds(3200));
   }
 
-  /// The server restarts under its id while the network is cut, so that the stream's connection
+  /// The server restarts under its id during a network partition, so that the stream's connection
   /// hangs.
   void StreamOfARestartedServerEndsAndIsNotRetried()
   {
@@ -397,7 +397,7 @@
     CPPUNIT_ASSERT_EQUAL(1, requests);
   }
 
-  void SilentStreamOfAListedServerContinues()
+  void StalledStreamOfAListedServerContinues()
   {
     TestServer server([](TestPeer& peer, const std::string& head) {
       peer.stream->Write(StreamHead(head) + Chunk(Event(1)));
@@ -444,7 +444,7 @@
     CPPUNIT_ASSERT(std::stoi(HeaderOf(server.requests.at(1), "Left-Ms")) <= 1500);
   }
 
-  void AnswersAtTheDeadline()
+  void RespondsAtTheDeadline()
   {
     TestServer server([](TestPeer&, const std::string&) {});
     World world;
