--- a/Source/Core/Accounts/Allowance.h
+++ b/Source/Core/Accounts/Allowance.h
@@ -25,8 +25,8 @@
 /// an empty bucket and learns the unspent units from the reports.
 namespace Accounts
 {
-/// An allocator that is silent for this long counts as lost; it sends to each daemon twice in this
-/// span.
+/// An allocator from which nothing arrived for this long counts as lost; it sends to each daemon
+/// twice within this time.
 constexpr Common::Milliseconds ALLOCATOR_TIMEOUT{900};
 /// After the allocator is lost, each daemon adds units by itself for this long: a lease that was
 /// not released becomes free after about 3 s and is acquired within another second.
@@ -64,7 +64,7 @@
 private:
   /// Long enough that an account with a request a second at a daemon has a steady rate. With 4 s,
   /// daemons without a recent request were left without units, and 6 of 100 requests were refused
-  /// in a replay in which the holder was missing for 4.5 s.
+  /// in a replay in which there was no holder for 4.5 s.
   static constexpr double TIME_CONSTANT_S = 8;
 
   double SumAt(Common::TimePoint now) const
--- a/Source/Core/Accounts/AllowanceAllocator.cpp
+++ b/Source/Core/Accounts/AllowanceAllocator.cpp
@@ -21,15 +21,16 @@
 constexpr double ADVANCE_FRACTION = 0.85;
 /// Units are granted in advance for at most this many seconds of a daemon's demand: while an
 /// allocator is replaced, there is none for up to 4.5 s, of which the first second is the time
-/// until its silence is noticed.
+/// until its loss is detected.
 constexpr double MAX_ADVANCE_SECONDS = 3;
 /// Weight of the mean demand of all daemons with demand when a daemon's demand is smoothed.
 constexpr double MEAN_DEMAND_WEIGHT = 0.6;
 /// From this fraction of the rate on, an account's demand counts as exceeding its limit.
 constexpr double BUSY_SHARE = 0.9;
-/// The unspent units of a daemon that is silent for this long are dropped, here and at the daemon.
+/// The unspent units of a daemon that has sent no report for this long are dropped, here and at the
+/// daemon.
 constexpr Milliseconds FORGET_AFTER{10000};
-/// The demand of a daemon that is silent for this long is ignored.
+/// The demand of a daemon that has sent no report for this long is ignored.
 constexpr Milliseconds DEMAND_VALID{ALLOCATOR_TIMEOUT + LOCAL_FILL_TIME};
 /// Daemons add units by themselves until they have reached a new allocator, so its buckets start
 /// below zero by this many seconds of the rate.
@@ -42,7 +43,7 @@
 {
   last_report = line;
   last_report.available = std::max<std::int64_t>(line.available, 0);
-  // A daemon that was silent for long may have counted more grants than are remembered here.
+  // A daemon without reports for a long time may have counted more grants than are recorded here.
   granted = std::max(granted, line.granted_seen);
   reported_at = now;
 }
--- a/Source/Core/Accounts/AllowanceAllocator.h
+++ b/Source/Core/Accounts/AllowanceAllocator.h
@@ -23,8 +23,8 @@
 {
 public:
   void Configure(const UsageBound& bound) { m_bound = bound; }
-  /// Starts a new tenure. The buckets start empty, since the grants of the previous allocator are
-  /// not known.
+  /// Starts a new tenure, identified by the fence of the order lease. The buckets start empty,
+  /// since the grants of the previous allocator are not known.
   void Begin(std::int64_t tenure);
 
   struct Reporter
--- a/Source/Core/Accounts/Directory.cpp
+++ b/Source/Core/Accounts/Directory.cpp
@@ -53,7 +53,7 @@
   return "";
 }
 
-/// More tokens than fit into the memory of any engine.
+/// More tokens than fit into the memory of any backend server.
 constexpr std::int64_t MAX_TOKENS = 100'000'000;
 
 std::optional<std::int64_t> TokenCount(std::string_view text)
--- a/Source/Core/Accounts/Directory.h
+++ b/Source/Core/Accounts/Directory.h
@@ -27,7 +27,7 @@
 enum class UsageUnit : std::uint8_t
 {
   Requests,
-  Tokens, ///< Tokens of the prompt plus the maximum tokens of the answer that the request allows.
+  Tokens, ///< Tokens of the prompt plus the maximum tokens of the response that the request allows.
 };
 
 /// How much an account may use over all daemons together.
--- a/Source/Core/Accounts/KeyFreshness.cpp
+++ b/Source/Core/Accounts/KeyFreshness.cpp
@@ -13,7 +13,7 @@
 /// request cross a link that may be busy.
 constexpr Common::Milliseconds SEND_MARGIN{250};
 /// Fraction of the bound for one call that waits for changes. A proof is as old as two such calls
-/// when the second is answered; the rest of the bound is for late answers.
+/// when the response to the second arrives; the rest of the bound is for late responses.
 constexpr double WAIT_SHARE = 0.4;
 } // namespace
 
--- a/Source/Core/Accounts/KeyFreshness.h
+++ b/Source/Core/Accounts/KeyFreshness.h
@@ -13,9 +13,9 @@
 /// by a new configuration, which does not reach a daemon that is cut off or suspended. A daemon
 /// therefore accepts keys only while it can prove that its configuration was recently the newest.
 ///
-/// The proof is a time of this daemon's steady clock: when it sent a call that the store answered
-/// with nothing newer. The time of the answer would be too late, as the answer may have been
-/// delayed in transit, or this process may have been suspended before it read the answer.
+/// The proof is a time of this daemon's steady clock: when it sent a call whose response from the
+/// store had nothing newer. The time of the response would be too late, as the response may have
+/// been delayed in transit, or this process may have been suspended before it read it.
 class KeyFreshness
 {
 public:
--- a/Source/Core/Accounts/LocalAllowances.h
+++ b/Source/Core/Accounts/LocalAllowances.h
@@ -28,7 +28,7 @@
 ///
 /// While no allocator is reachable, this daemon adds units at its share of the account's rate, as
 /// the last allocator announced it, for a few seconds: all daemons together stay within the rate,
-/// and callers hardly notice that an allocator is replaced. A daemon that has not reached any
+/// and few requests are refused while an allocator is replaced. A daemon that has not reached any
 /// allocator yet uses an equal share of the rate.
 class LocalAllowances
 {
--- a/Source/Core/Orders/Coordination.h
+++ b/Source/Core/Orders/Coordination.h
@@ -116,7 +116,7 @@
   }
   /// Handles a stored row about requests that crash servers.
   void OnCrashRow(const ArchiveRow& row) { m_archive.OnRow(row); }
-  /// The store stopped answering this daemon, or answers again.
+  /// The store stopped responding to this daemon, or responds again.
   void OnStoreLost()
   {
     m_store_lost = true;
@@ -155,16 +155,16 @@
 
 private:
   /// If the holder crashes, there is no holder for this long plus the pause between holders. A
-  /// shorter lease costs more renewals, each of which is a priced call.
+  /// shorter lease costs more renewals, each of which is a billed call.
   static constexpr Common::Milliseconds LEASE_DURATION{3000};
-  /// The holder calls the store twice a second; if no call is answered for this long, the holder
-  /// counts as cut off.
+  /// The holder calls the store twice a second; without a response for this long, the holder counts
+  /// as cut off from it.
   static constexpr Common::Milliseconds MAX_SILENCE{1200};
-  /// The holder issues no orders if its view of the servers is older. The difference to
+  /// The holder issues no orders if its copy of the servers' entries is older. The difference to
   /// `MAX_SILENCE` is the time within which its last orders have arrived.
   static constexpr Common::Milliseconds MAX_AGE_FOR_ORDERS{900};
   /// At the start of a tenure a call with a follower's longer wait may still be open, so the age of
-  /// the answers is ignored for this long.
+  /// the responses is ignored for this long.
   static constexpr Common::Milliseconds STARTUP_GRACE{3500};
   /// Added to the platform's pause between holders, for orders that are still in transit.
   static constexpr Common::Milliseconds PAUSE_MARGIN{150};
@@ -232,11 +232,11 @@
 
   LeaseAnnouncement CurrentLease() const { return {m_lease.Fence(), m_lease.RowVersion(), {}}; }
 
-  /// If the store stops answering the holder, the holder abdicates and announces it at once instead
-  /// of letting the lease expire: another daemon may reach the store.
+  /// If the store stops responding to the holder, the holder abdicates and announces it at once
+  /// instead of letting the lease expire: another daemon may reach the store.
   void AbdicateIfCutOff(Common::TimePoint now)
   {
-    // Right after an outage the last answers are old and the first new ones are still in transit.
+    // Right after an outage the last responses are old and the first new ones are still in transit.
     if (!m_held || now - m_held_since < STARTUP_GRACE || NewestAnswerAge(now) <= MAX_SILENCE)
       return;
     const LeaseAnnouncement lease = CurrentLease();
--- a/Source/Core/Orders/Hub.cpp
+++ b/Source/Core/Orders/Hub.cpp
@@ -46,14 +46,14 @@
 constexpr std::size_t PLACEMENT_DIVISOR = 4;
 /// Changes that are not confirmed for this long are sent again.
 constexpr Milliseconds RESEND_AFTER{300};
-/// A daemon that is silent for this long gets no more announcements.
+/// A daemon that has sent no report for this long gets no more announcements.
 constexpr Milliseconds PEER_SILENT_AFTER{2000};
-/// The holder counts as silent after this many intervals plus the slack. Then each daemon reads
-/// from the platform itself; both together stay well below the 2 s in which a change has to be in
-/// force.
+/// The holder counts as unresponsive after this many intervals plus the slack. Then each daemon
+/// reads from the platform itself; both together stay well below the 2 s in which a change has to
+/// be in force.
 constexpr int SILENT_INTERVALS = 2;
 constexpr Milliseconds SILENCE_SLACK{300};
-/// The holder's copy of a table is used only if the platform's last answer to the holder is not
+/// The holder's copy of a table is used only if the platform's last response to the holder is not
 /// older.
 constexpr Milliseconds MAX_ANSWER_AGE{900};
 /// How long the platform may hold the holder's own long polls; less than `MAX_ANSWER_AGE`.
@@ -66,7 +66,7 @@
 constexpr Milliseconds HOLDER_BATCH_DELAY{25};
 constexpr Milliseconds FOLLOWER_BATCH_DELAY{250};
 constexpr Milliseconds CHECK_INTERVAL{100};
-/// Placements are discarded if the holder is silent for this long.
+/// Placements are discarded if no announcement arrived from the holder for this long.
 constexpr Milliseconds PLACEMENT_VALID{2000};
 constexpr int DATAGRAMS_PER_TURN = 64;
 constexpr int ABDICATION_COPIES = 3;
@@ -622,8 +622,8 @@
   m_min_handicap = Milliseconds(state->min_handicap_ms);
   if (state->abdicated)
   {
-    // From now on each daemon reads from the platform itself, until another holder announces
-    // itself.
+    // From now on this daemon reads from the platform itself, until an announcement of another
+    // holder arrives.
     m_last_announcement_at = {};
     if (m_on_lease_announcement)
       m_on_lease_announcement({report.fence, state->lease_version, Milliseconds(0)}, state->vm,
--- a/Source/Core/Orders/LeaseManager.h
+++ b/Source/Core/Orders/LeaseManager.h
@@ -30,8 +30,8 @@
   Common::Incarnation run;
   std::string address; ///< IP:PORT at which the holder receives reports.
   /// The pause after the previous holder is over. While false, the row may come from a write whose
-  /// answer was lost, so that its daemon never learned that it held the lease; the pause must still
-  /// be observed.
+  /// response was lost, so that its daemon never learned that it held the lease; the pause must
+  /// still be observed.
   bool ordering = false;
 };
 
@@ -53,8 +53,8 @@
   Common::Milliseconds duration{4000};
   /// Minimum time between the last order of one holder and the first order of the next.
   Common::Milliseconds holder_pause{3000};
-  /// Delay before this daemon takes a free lease. Weak VMs wait longer, because they perform poorly
-  /// as the holder.
+  /// Delay before this daemon tries to acquire a free lease. VMs with few cores or a slow link wait
+  /// longer, because they perform poorly as the holder.
   Common::Milliseconds handicap{0};
 };
 
@@ -96,12 +96,12 @@
     m_record = record;
   }
 
-  /// The store does not answer this daemon. It makes no attempt to take the lease, since the write
-  /// could not succeed and would still be billed.
+  /// The store does not respond to this daemon, which makes no attempt to acquire the lease, since
+  /// the write could not succeed and would still be billed.
   void OnStoreLost() { m_store_lost = true; }
-  /// The store answers again. All daemons detect this at about the same time, so the delays before
-  /// taking the lease restart: first the last holder, which need not wait for the pause between
-  /// holders, then strong VMs.
+  /// The store responds again. All daemons detect this at about the same time, so the delays before
+  /// acquiring the lease restart: first the last holder, which need not wait for the pause between
+  /// holders, then VMs with a low handicap.
   void OnStoreBack()
   {
     m_store_lost = false;
@@ -111,8 +111,8 @@
     m_retry_at = {};
   }
 
-  /// Gives up the lease without writing the row, because the store is unreachable. No orders are
-  /// sent any more under the current fence.
+  /// Stops acting as the holder without writing the row, because the store is unreachable. No
+  /// orders are sent any more under the current fence.
   void Abdicate()
   {
     if (m_fence)
@@ -130,7 +130,7 @@
   /// Whether this daemon holds the lease, even if it may not send orders yet.
   bool Holds(Common::TimePoint now) const { return m_fence && now < m_valid_until - STOP_MARGIN; }
   /// Whether orders may be sent now. Must be checked right before each order, since the process may
-  /// have been frozen.
+  /// have been suspended.
   bool MaySendOrders(Common::TimePoint now) const { return Holds(now) && now >= m_orders_from; }
   /// When this holder must stop sending orders unless it renews.
   Common::TimePoint OrdersUntil() const { return m_valid_until - STOP_MARGIN; }
@@ -175,8 +175,8 @@
   /// After an outage of the store, a lease that was not released is reserved for its last holder
   /// for this long: daemons detect the store's return up to a second apart, and the pause between
   /// two holders would cost three seconds. Measured gain for three kinds of outage: +0.015 +- 0.016
-  /// to +0.068 +- 0.011 (8 paired runs each, together with the connection time limit and the
-  /// gathering of table changes).
+  /// to +0.068 +- 0.011 (8 paired runs each, together with the connection timeout and the batching
+  /// of table changes).
   static constexpr Common::Milliseconds RESERVATION_TIME{1200};
   /// Losses of the lease that are at most this far apart are counted together.
   static constexpr Common::Milliseconds LOSS_WINDOW{15000};
@@ -217,13 +217,14 @@
       Write(now, "acquired");
   }
 
-  /// Delay before this daemon takes a free lease. The last holder need not wait for the pause
-  /// between holders and therefore goes first, unless its VM is weak. A daemon that has lost the
-  /// lease more than once recently goes after the others, because its VM cannot sustain the work.
+  /// Delay before this daemon tries to acquire a free lease. The last holder need not wait for the
+  /// pause between holders and therefore goes first, unless its VM has a handicap. A daemon that
+  /// has lost the lease more than once recently goes after the others, because its VM cannot
+  /// sustain the work.
   Common::Milliseconds AcquisitionDelay(Common::TimePoint now) const
   {
     const bool loses_repeatedly = m_losses > 1 && now - m_lost_at < LOSS_WINDOW;
-    // If all VMs are equally weak, none has to wait.
+    // If all VMs have the same handicap, none has to wait.
     const auto relative_handicap =
         std::max(m_settings.handicap - m_min_handicap, Common::Milliseconds(0));
     const auto handicap =
--- a/Source/Core/Orders/Messages.h
+++ b/Source/Core/Orders/Messages.h
@@ -32,8 +32,8 @@
 {
   std::int64_t from = 0;          ///< The message has all rows that changed after this version,
   std::int64_t to = 0;            ///< up to and including this one.
-  std::int64_t answer_age_ms = 0; ///< Age of the platform's last answer to the holder.
-  /// Time since the holder sent the call whose answer showed that `to` was the newest version.
+  std::int64_t answer_age_ms = 0; ///< Age of the platform's last response to the holder.
+  /// Time since the holder sent the call whose response showed that `to` was the newest version.
   /// Negative if there is no such call, or if changes before `to` are missing here.
   std::int64_t proof_age_ms = -1;
   bool omitted = false; ///< A row is too long to be relayed; read it from the platform.
--- a/Source/Core/Orders/OrderManager.h
+++ b/Source/Core/Orders/OrderManager.h
@@ -151,7 +151,7 @@
     Decisions::WeightSource source = Decisions::WeightSource::WeightStore;
     std::uint64_t id = 0;
   };
-  /// A load that was never answered. It may still take effect, even after a restart of the server
+  /// A load without a result. It may still take effect, even after a restart of the server
   /// once the restarted server has accepted as many orders as the load expects.
   struct UnansweredLoad
   {
@@ -196,7 +196,7 @@
     Gateway::ServerPtr server;
     ServerRecord* record = nullptr;
     PlanInputBuilder* plan_input =
-        nullptr; ///< Of its pool; nullptr if the pool has no model engine.
+        nullptr; ///< Of its pool; nullptr if the pool has no model servers.
     Decisions::ServerIndex index{};
     std::uint64_t entry_revision = 0; ///< Revision of the entry last processed.
   };
--- a/Source/Core/Orders/OrderManagerAdapters.cpp
+++ b/Source/Core/Orders/OrderManagerAdapters.cpp
@@ -24,7 +24,8 @@
 
 /// An adapter with demand within this time is not unloaded to make room for another.
 constexpr Milliseconds ADAPTER_MIN_IDLE{1500};
-/// Adapter loads that may be in progress on one server at once. The platform's engines allow four.
+/// Adapter loads that may be in progress on one server at once. The platform's backend servers
+/// allow four.
 constexpr int MAX_ADAPTER_LOADS = 2;
 } // namespace
 
--- a/Source/Core/Orders/PermitExchange.cpp
+++ b/Source/Core/Orders/PermitExchange.cpp
@@ -18,7 +18,7 @@
 /// two messages.
 constexpr Milliseconds REQUEST_DELAY{4};
 constexpr Milliseconds MIN_REQUEST_INTERVAL{20};
-/// Interval at which open requests are repeated, as a message may have been lost.
+/// Interval at which open requests are sent again, as a message may have been lost.
 constexpr Milliseconds REPEAT_AFTER{150};
 /// The same for offers to probe a server, which are less urgent.
 constexpr Milliseconds REPEAT_PROBE_OFFERS_AFTER{1000};
--- a/Source/Core/Orders/PlanInputBuilder.h
+++ b/Source/Core/Orders/PlanInputBuilder.h
@@ -24,8 +24,7 @@
   bool usable = true;
   bool order_open = false;
   /// Limit on the requests of all daemons together; set only once it has been in force for a while.
-  /// 0 if at least half of the daemons back off from
-  /// the server.
+  /// 0 if at least half of the daemons back off from the server.
   std::optional<double> requests_per_second;
   std::optional<Gateway::ModelId>
       loading;            ///< Being loaded, or to be loaded after the unload under way.
--- a/Source/Core/Orders/SharedTables.h
+++ b/Source/Core/Orders/SharedTables.h
@@ -19,7 +19,7 @@
 {
   NoHolder,    ///< No lease holder is reachable.
   IsHolder,    ///< This daemon is the holder.
-  StaleCopy,   ///< The platform has not answered the holder recently.
+  StaleCopy,   ///< The platform has not responded to the holder recently.
   RowsLeftOut, ///< The holder's announcement left out changes.
 };
 
--- a/Source/Core/Orders/TableFollower.h
+++ b/Source/Core/Orders/TableFollower.h
@@ -49,8 +49,8 @@
 {
   std::function<void(const std::vector<TableRow>&)> on_snapshot;
   std::function<void(const TableRow&)> on_change;
-  std::function<void()> on_lost; ///< The source stopped answering.
-  std::function<void()> on_back;
+  std::function<void()> on_lost; ///< The source stopped responding.
+  std::function<void()> on_back; ///< The source responds again.
   /// The copy, with all changes reported so far, was the newest version at this time.
   std::function<void(Common::TimePoint)> on_proven = {};
 };
@@ -77,14 +77,14 @@
 
   std::int64_t Version() const { return m_have_snapshot ? m_version : 0; }
   bool HasSnapshot() const { return m_have_snapshot; }
-  /// Time since the source's last answer.
+  /// Time since the source's last response.
   Common::Milliseconds AnswerAge(Common::TimePoint now) const
   {
     return std::chrono::ceil<Common::Milliseconds>(now - m_answered_at);
   }
 
-  /// When this copy was last confirmed to be the newest version. This is the time at which a call
-  /// was sent that the source answered, to this daemon or to the daemon that relays the table.
+  /// When this copy was last confirmed to be the newest version: the time at which this daemon, or
+  /// the daemon that relays the table, sent the call whose response confirmed it.
   std::optional<Common::TimePoint> ProvenAt() const { return m_proven_at; }
 
   /// The daemon that relays the table confirmed that a copy equal to this one was the newest
@@ -98,8 +98,9 @@
   /// Sets how long the source may hold a call that waits for changes. The daemon that relays its
   /// copy to others uses a shorter wait, so that the copy is never out of date.
   void SetWait(Common::Milliseconds wait) { m_wait = wait; }
-  /// Sets how long to wait after an answer with changes before the next call. Each call is priced,
-  /// and with many backend servers the source would answer every call at once with a single change.
+  /// Sets how long to wait after a response with changes before the next call. Each call is billed,
+  /// and with many backend servers the source would respond to every call at once with a single
+  /// change.
   void SetBatchDelay(Common::Milliseconds span) { m_batch_delay = span; }
 
   /// No calls are made while the table is relayed. `reason` is logged when relaying ends.
@@ -158,11 +159,11 @@
 private:
   /// Maximum number of changes that are kept for other daemons.
   static constexpr std::size_t MAX_LOG_ROWS = 512;
-  /// Pause after the first failed call. It doubles up to about 1 s: refused calls are priced, and a
-  /// daemon's view has to be current within 3 s after an outage.
+  /// Pause after the first failed call. It doubles up to about 1 s: rejected calls are billed, and
+  /// a daemon's copy has to be current within 3 s after an outage.
   static constexpr Common::Milliseconds FIRST_PAUSE{60};
   static constexpr int MAX_PAUSE_DOUBLINGS = 4;
-  /// Short enough that a call which the source has lost is repeated within the time allowed for
+  /// Short enough that a call which the source has lost is retried within the time allowed for
   /// applying a configuration after an outage.
   static constexpr Common::Milliseconds DEFAULT_WAIT{2500};
 
@@ -220,8 +221,8 @@
 
   void Continue()
   {
-    // A lost source is called without a wait, so that its first answer shows at once that it is
-    // back.
+    // A source that stopped responding is called without a wait, so that its first response shows
+    // at once that it is back.
     if (!m_relayed)
       Follow(m_lost ? Common::Milliseconds(0) : m_wait);
   }
--- a/Source/UnitTests/Accounts/AllowanceReplayTest.cpp
+++ b/Source/UnitTests/Accounts/AllowanceReplayTest.cpp
@@ -407,8 +407,8 @@
     CPPUNIT_ASSERT(fleet.TakeCounts().units_run <= bound);
   }
 
-  /// The allocator forgets a daemon that was silent for 10 s, including its total of grants, while
-  /// the daemon still counts from that total.
+  /// The allocator drops the state of a daemon without reports for 10 s, including its total of
+  /// grants, while the daemon still counts from that total.
   void ForgottenDaemonIsGrantedUnitsAgain()
   {
     Fleet fleet(71, 71);
--- a/Source/UnitTests/Accounts/KeyFreshnessTest.cpp
+++ b/Source/UnitTests/Accounts/KeyFreshnessTest.cpp
@@ -57,8 +57,8 @@
     CPPUNIT_ASSERT(trust.IsFresh(BEGIN + Milliseconds(4700)));
   }
 
-  /// An answer proves only the time at which its call was sent, so that the proof is two waits old
-  /// when the next answer is due.
+  /// A response proves only the time at which its call was sent, so that the proof is two waits old
+  /// when the next response is due.
   void TwoWaitingCallsKeepTheProof()
   {
     KeyFreshness trust;
--- a/Source/UnitTests/Orders/HubTest.cpp
+++ b/Source/UnitTests/Orders/HubTest.cpp
@@ -117,8 +117,8 @@
   CPPUNIT_TEST(NewHolderReceivesCrashesFromAllDaemons);
   CPPUNIT_TEST_SUITE_END();
 
-  /// Guards against a proof that is newer at a follower than at the holder: the follower takes over
-  /// the time at which the holder's copy was proven, never a later one, although the datagram takes
+  /// Guards against a proof that is newer at a follower than at the holder: the follower uses the
+  /// time at which the holder's copy was proven, never a later one, although the datagram takes
   /// time.
   void FollowerProofIsNoNewerThanTheHolders()
   {
@@ -136,10 +136,11 @@
     }));
   }
 
-  /// A suspended daemon took old announcements for new ones, and with them keys that had been
-  /// revoked. While the daemon does not run for a second, the holder's datagrams wait in its
-  /// socket, each with a proof that was fresh when it was written. Its age was counted from the
-  /// arrival; it has to count from the writing, which the echo of the daemon's own report bounds.
+  /// A daemon that had been suspended treated old announcements as new ones and therefore accepted
+  /// keys that had been revoked. While the daemon does not run for a second, the holder's datagrams
+  /// wait in its socket, each with a proof that was fresh when it was written. Its age was counted
+  /// from the arrival; it has to be counted from the write time, for which the echo of the daemon's
+  /// own report gives a lower bound.
   void QueuedAnnouncementProvesOnlyItsWriteTime()
   {
     Daemon holder("a");
--- a/Source/UnitTests/Orders/LeaseManagerTest.cpp
+++ b/Source/UnitTests/Orders/LeaseManagerTest.cpp
@@ -14,7 +14,7 @@
 using UnitTests::RunFor;
 using UnitTests::RunUntil;
 
-/// A store with a single row. Tests can make it drop or delay its answers.
+/// A store with a single row. Tests can make it drop or delay its responses.
 class FakeStore
 {
 public:
@@ -61,7 +61,7 @@
   std::int64_t version = 0;
   bool down = false;
   bool lose_answers = false;
-  bool hold_answers = false; ///< Answers are queued in `held`.
+  bool hold_answers = false; ///< Responses are queued in `held`.
   std::vector<std::function<void()>> held;
   int calls = 0;
 
@@ -208,7 +208,7 @@
 
   void PauseIsObservedAfterALostAnswer()
   {
-    // The previous holder has just released the lease. The write takes effect, but its answer is
+    // The previous holder has just released the lease. The write takes effect, but its response is
     // lost.
     FakeStore store;
     store.version = 5;
--- a/Source/UnitTests/Orders/OrderManagerTest.cpp
+++ b/Source/UnitTests/Orders/OrderManagerTest.cpp
@@ -21,7 +21,7 @@
 /// Size of the model "large". Loading it requires unloading both other models.
 constexpr double LARGE_MB = 140;
 
-/// An OrderManager with one backend server that has memory for two models and whose answers are set
+/// An OrderManager with one backend server that has memory for two models and whose results are set
 /// by the test.
 class OrderFixture
 {
--- a/Source/UnitTests/Orders/RowChangeTest.cpp
+++ b/Source/UnitTests/Orders/RowChangeTest.cpp
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT((*rows)[0].value == Configuration(4250));
   }
 
-  /// A row of more than 1 MB was refused by every daemon that it was relayed to.
+  /// A row of more than 1 MB was rejected by every daemon that it was relayed to.
   void RowOfSeveralMegabytesIsRelayed()
   {
     const TableRow row{"c", Configuration(20000), 5, false};
--- a/Source/UnitTests/Orders/ServerLimitTest.cpp
+++ b/Source/UnitTests/Orders/ServerLimitTest.cpp
@@ -91,7 +91,8 @@
     const auto known = Common::Now();
     RunFor(Milliseconds(20000));
     const auto arrivals = fleet.ArrivalsSince(known);
-    // 80 % of one request in two seconds at each of two servers, as under any demand.
+    // 80 % of one request in two seconds at each of two servers. The same target applies to any
+    // demand.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(arrivals), arrivals >= 2 * 10 * 80 / 100);
     for (const auto& server : fleet.servers)
       CPPUNIT_ASSERT(server->WorstWindow(WINDOW, known) <= Allowed(0.5));
--- a/Source/UnitTests/Orders/ServerRestartOrdersTest.cpp
+++ b/Source/UnitTests/Orders/ServerRestartOrdersTest.cpp
@@ -219,8 +219,8 @@
       CPPUNIT_ASSERT(fixture.calls[i].operation == OrderCall::Operation::Unload);
   }
 
-  /// The sequence had moved past an unanswered load, which therefore could not take effect any more
-  /// and was forgotten. After a restart the sequence started again at 0, so the load could take
+  /// The sequence had advanced beyond an unanswered load, which therefore could not take effect any
+  /// more and was dropped. After a restart the sequence started again at 0, so the load could take
   /// effect after all. Found by the formal model of server restarts.
   void SupersededUnansweredLoadReservesMemoryAfterARestart()
   {
@@ -231,7 +231,7 @@
     fixture.Demand({"a"});
     CPPUNIT_ASSERT(fixture.PlanUntilOrders(1));
     RunFor(Milliseconds(20));
-    // The order is sent again with the server's current sequence and is refused.
+    // The order is sent again with the server's current sequence and is rejected.
     fixture.SetReport(1000, 3);
     fixture.next_answer = OrderAnswer::Busy;
     CPPUNIT_ASSERT(fixture.PlanUntilOrders(2));
