--- a/Source/Core/Accounts/AllowanceAllocator.cpp
+++ b/Source/Core/Accounts/AllowanceAllocator.cpp
@@ -48,15 +48,15 @@
   reported_at = now;
 }
 
-void AllowanceAllocator::Begin(std::int64_t tenure)
+void AllowanceAllocator::BeginTenure(std::int64_t tenure)
 {
   m_tenure = tenure;
   m_runs.clear();
   m_buckets.clear();
 }
 
-void AllowanceAllocator::TakeReport(const Reporter& reporter, std::span<const AllowanceLine> lines,
-                                    Common::TimePoint now)
+void AllowanceAllocator::ApplyReport(const Reporter& reporter, std::span<const AllowanceLine> lines,
+                                     Common::TimePoint now)
 {
   const Common::VmId& vm = reporter.vm;
   const auto known = m_runs.find(vm);
--- a/Source/Core/Accounts/AllowanceAllocator.h
+++ b/Source/Core/Accounts/AllowanceAllocator.h
@@ -25,7 +25,7 @@
   void Configure(const UsageBound& bound) { m_bound = bound; }
   /// Starts a new tenure, identified by the fence of the order lease. The buckets start empty,
   /// since the grants of the previous allocator are not known.
-  void Begin(std::int64_t tenure);
+  void BeginTenure(std::int64_t tenure);
 
   struct Reporter
   {
@@ -34,8 +34,8 @@
     std::int64_t tenure_seen = 0; ///< Tenure of the allocator whose grants it counts.
   };
   /// Handles a daemon's unspent and requested units.
-  void TakeReport(const Reporter& reporter, std::span<const AllowanceLine> lines,
-                  Common::TimePoint now);
+  void ApplyReport(const Reporter& reporter, std::span<const AllowanceLine> lines,
+                   Common::TimePoint now);
   /// Refills the buckets and grants units of all accounts.
   void Allocate(const Directory& accounts, Common::TimePoint now);
   /// Grants the units that requests at one daemon wait for, as far as the buckets have them.
--- a/Source/Core/Accounts/KeyFreshness.cpp
+++ b/Source/Core/Accounts/KeyFreshness.cpp
@@ -17,7 +17,7 @@
 constexpr double WAIT_SHARE = 0.4;
 } // namespace
 
-void KeyFreshness::Prove(Common::TimePoint moment)
+void KeyFreshness::RecordProof(Common::TimePoint moment)
 {
   m_proven = std::max(m_proven.value_or(moment), moment);
 }
--- a/Source/Core/Accounts/KeyFreshness.h
+++ b/Source/Core/Accounts/KeyFreshness.h
@@ -23,7 +23,7 @@
   /// bound.
   void Configure(std::optional<Common::Milliseconds> limit) { m_limit = limit; }
   /// Records that the current configuration was the newest at `moment`.
-  void Prove(Common::TimePoint moment);
+  void RecordProof(Common::TimePoint moment);
 
   /// True if keys may be accepted now.
   bool IsFresh(Common::TimePoint now) const;
--- a/Source/Core/Accounts/LocalAllowances.cpp
+++ b/Source/Core/Accounts/LocalAllowances.cpp
@@ -39,29 +39,29 @@
   const auto before = std::exchange(m_accounts, std::move(accounts));
   if (!m_accounts)
   {
-    m_locals.clear();
+    m_states.clear();
     return;
   }
   std::map<AccountName, const UsageLimit*> old_limits;
   if (before)
     for (const Account& account : before->All())
       old_limits[account.name] = &account.limit;
-  std::map<AccountName, Local> kept;
+  std::map<AccountName, AccountState> kept;
   for (const Account& account : m_accounts->All())
   {
-    const auto local = m_locals.find(account.name);
-    if (local == m_locals.end())
+    const auto state = m_states.find(account.name);
+    if (state == m_states.end())
       continue;
     const auto old_limit = old_limits.find(account.name);
     if (old_limit != old_limits.end() && account.limit.IsLimited())
     {
       const double old_stock = MaxUnspentUnits(*old_limit->second, m_bound);
       const double stock = MaxUnspentUnits(account.limit, m_bound);
-      local->second.available *= old_stock > stock ? stock / old_stock : 1;
+      state->second.available *= old_stock > stock ? stock / old_stock : 1;
     }
-    kept.insert(m_locals.extract(local));
+    kept.insert(m_states.extract(state));
   }
-  m_locals = std::move(kept);
+  m_states = std::move(kept);
 }
 
 const UsageLimit* LocalAllowances::LimitOf(const AccountName& account) const
@@ -77,7 +77,7 @@
   return m_last_grants_at && now - *m_last_grants_at <= ALLOCATOR_TIMEOUT;
 }
 
-double LocalAllowances::LocalFillRate(const Local& local, const UsageLimit& limit,
+double LocalAllowances::LocalFillRate(const AccountState& state, const UsageLimit& limit,
                                       Common::TimePoint now) const
 {
   const double equal_share = limit.rate / std::max(m_daemons, 1);
@@ -85,29 +85,29 @@
     return m_started_at && now - *m_started_at <= INITIAL_LOCAL_FILL_TIME ? equal_share : 0;
   if (now - *m_last_grants_at > ALLOCATOR_TIMEOUT + LOCAL_FILL_TIME)
     return 0;
-  return local.local_fill_rate;
+  return state.local_fill_rate;
 }
 
-void LocalAllowances::Fill(Local& local, const UsageLimit& limit, Common::TimePoint now)
+void LocalAllowances::Fill(AccountState& state, const UsageLimit& limit, Common::TimePoint now)
 {
   if (m_last_grants_at && now - *m_last_grants_at > DISCARD_AFTER)
-    local.available = 0;
+    state.available = 0;
   if (HasAllocatorContact(now))
   {
     // If the allocator turns out to be lost, units flow in from its last message on.
-    local.filled_at = *m_last_grants_at;
+    state.filled_at = *m_last_grants_at;
     return;
   }
   const Seconds since =
-      std::min(std::chrono::duration_cast<Seconds>(now - local.filled_at), MAX_LOCAL_FILL_TIME);
-  local.filled_at = now;
-  const double rate = LocalFillRate(local, limit, now);
+      std::min(std::chrono::duration_cast<Seconds>(now - state.filled_at), MAX_LOCAL_FILL_TIME);
+  state.filled_at = now;
+  const double rate = LocalFillRate(state, limit, now);
   const double refilled = rate * since.count();
   // The bound applies only to units that this daemon added by itself, not to granted units.
   const double max_available =
-      std::max(local.available, MaxUnspentUnits(limit, m_bound) / std::max(m_daemons, 1) +
+      std::max(state.available, MaxUnspentUnits(limit, m_bound) / std::max(m_daemons, 1) +
                                     rate * MAX_LOCAL_FILL_TIME.count());
-  local.available = std::min(local.available + refilled, max_available);
+  state.available = std::min(state.available + refilled, max_available);
 }
 
 UsageVerdict LocalAllowances::Take(const Account& account, double cost, Common::TimePoint now,
@@ -117,82 +117,82 @@
     return UsageVerdict::Granted;
   if (!m_started_at)
     m_started_at = now;
-  Local& local = m_locals[account.name];
+  AccountState& state = m_states[account.name];
   if (is_new)
   {
-    local.demand.Add(cost, now);
-    local.requests.Add(1, now);
-    local.usage.asked += static_cast<std::int64_t>(cost);
+    state.demand.Add(cost, now);
+    state.requests.Add(1, now);
+    state.usage.asked += static_cast<std::int64_t>(cost);
   }
-  Fill(local, account.limit, now);
-  if (local.available >= cost)
+  Fill(state, account.limit, now);
+  if (state.available >= cost)
   {
-    local.available -= cost;
+    state.available -= cost;
     return UsageVerdict::Granted;
   }
   if (cost > MaxUnspentUnits(account.limit, m_bound))
     return UsageVerdict::LimitExceeded;
   if (!HasAllocatorContact(now))
-    return LocalFillRate(local, account.limit, now) > 0 ? UsageVerdict::Wait
+    return LocalFillRate(state, account.limit, now) > 0 ? UsageVerdict::Wait
                                                         : UsageVerdict::Unchecked;
-  const bool exhausted = local.exhausted && now - local.exhausted_at <= EXHAUSTED_VALID_FOR;
+  const bool exhausted = state.exhausted && now - state.exhausted_at <= EXHAUSTED_VALID_FOR;
   return exhausted ? UsageVerdict::LimitExceeded : UsageVerdict::Wait;
 }
 
 void LocalAllowances::Refund(const AccountName& account, double cost)
 {
-  const auto local = m_locals.find(account);
-  if (local != m_locals.end())
-    local->second.available += cost;
+  const auto state = m_states.find(account);
+  if (state != m_states.end())
+    state->second.available += cost;
 }
 
 void LocalAllowances::BeginWait(const AccountName& account, double cost)
 {
-  m_locals[account].wanted += cost;
+  m_states[account].wanted += cost;
 }
 
 void LocalAllowances::EndWait(const AccountName& account, double cost)
 {
-  const auto local = m_locals.find(account);
-  if (local != m_locals.end())
-    local->second.wanted = std::max(local->second.wanted - cost, 0.0);
+  const auto state = m_states.find(account);
+  if (state != m_states.end())
+    state->second.wanted = std::max(state->second.wanted - cost, 0.0);
 }
 
 Milliseconds LocalAllowances::RetryDelay(const Account& account, double cost, Common::TimePoint now)
 {
-  Local& local = m_locals[account.name];
+  AccountState& state = m_states[account.name];
   const double income =
-      std::max({local.local_fill_rate, account.limit.rate / std::max(m_daemons, 1), IDLE_DEMAND});
-  const double missing = std::max(cost - local.available, 0.0);
+      std::max({state.local_fill_rate, account.limit.rate / std::max(m_daemons, 1), IDLE_DEMAND});
+  const double missing = std::max(cost - state.available, 0.0);
   const auto span = std::chrono::ceil<Milliseconds>(Seconds(missing / income));
   const auto first = now + span;
   const auto after_previous =
-      local.next_retry_at + std::chrono::ceil<Milliseconds>(Seconds(cost / income));
-  local.next_retry_at = std::min(std::max(first, after_previous), now + MAX_RETRY_DELAY);
-  return std::chrono::ceil<Milliseconds>(local.next_retry_at - now);
+      state.next_retry_at + std::chrono::ceil<Milliseconds>(Seconds(cost / income));
+  state.next_retry_at = std::min(std::max(first, after_previous), now + MAX_RETRY_DELAY);
+  return std::chrono::ceil<Milliseconds>(state.next_retry_at - now);
 }
 
 std::vector<AllowanceLine> LocalAllowances::Report(Common::TimePoint now)
 {
   std::vector<AllowanceLine> lines;
-  for (auto& [name, local] : m_locals)
+  for (auto& [name, state] : m_states)
   {
     const UsageLimit* limit = LimitOf(name);
     if (limit == nullptr || !limit->IsLimited())
       continue;
-    Fill(local, *limit, now);
-    const double demand = local.demand.At(now);
+    Fill(state, *limit, now);
+    const double demand = state.demand.At(now);
     // Units that are not needed here may be needed elsewhere; omitting them from the report returns
     // them.
     if (HasAllocatorContact(now))
-      local.available = std::min(local.available, local.wanted + demand * HELD_DEMAND_SPAN.count());
-    if (demand < IDLE_DEMAND && local.available < 1 && local.wanted <= 0)
+      state.available = std::min(state.available, state.wanted + demand * HELD_DEMAND_SPAN.count());
+    if (demand < IDLE_DEMAND && state.available < 1 && state.wanted <= 0)
       continue;
     lines.push_back(
-        {name, static_cast<std::int64_t>(local.available), local.granted_seen,
+        {name, static_cast<std::int64_t>(state.available), state.granted_seen,
          static_cast<std::int64_t>(std::ceil(demand)),
-         static_cast<std::int64_t>(std::ceil(local.wanted)),
-         static_cast<std::int64_t>(std::ceil(demand / std::max(local.requests.At(now), 1e-9)))});
+         static_cast<std::int64_t>(std::ceil(state.wanted)),
+         static_cast<std::int64_t>(std::ceil(demand / std::max(state.requests.At(now), 1e-9)))});
   }
   return lines;
 }
@@ -203,35 +203,35 @@
   if (tenure < m_tenure)
     return;
   if (tenure > m_tenure)
-    for (auto& [name, local] : m_locals)
-      local.granted_seen = 0;
+    for (auto& [name, state] : m_states)
+      state.granted_seen = 0;
   m_tenure = tenure;
   m_last_grants_at = now;
   for (const GrantLine& grant : grants)
   {
-    const auto found = m_locals.find(grant.account);
-    if (found == m_locals.end())
+    const auto found = m_states.find(grant.account);
+    if (found == m_states.end())
       continue;
-    Local& local = found->second;
-    const std::int64_t new_units = std::max<std::int64_t>(grant.granted - local.granted_seen, 0);
-    local.granted_seen += new_units;
-    local.available += static_cast<double>(new_units);
-    local.local_fill_rate = static_cast<double>(std::max<std::int64_t>(grant.rate, 0));
-    local.exhausted = grant.exhausted;
-    local.exhausted_at = now;
+    AccountState& state = found->second;
+    const std::int64_t new_units = std::max<std::int64_t>(grant.granted - state.granted_seen, 0);
+    state.granted_seen += new_units;
+    state.available += static_cast<double>(new_units);
+    state.local_fill_rate = static_cast<double>(std::max<std::int64_t>(grant.rate, 0));
+    state.exhausted = grant.exhausted;
+    state.exhausted_at = now;
   }
 }
 
 void LocalAllowances::NoteRefused(const AccountName& account, double cost)
 {
-  m_locals[account].usage.refused += static_cast<std::int64_t>(cost);
+  m_states[account].usage.refused += static_cast<std::int64_t>(cost);
 }
 
 std::map<AccountName, LocalAllowances::Usage> LocalAllowances::Totals() const
 {
   std::map<AccountName, Usage> totals;
-  for (const auto& [name, local] : m_locals)
-    totals[name] = local.usage;
+  for (const auto& [name, state] : m_states)
+    totals[name] = state.usage;
   return totals;
 }
 } // namespace Accounts
--- a/Source/Core/Accounts/LocalAllowances.h
+++ b/Source/Core/Accounts/LocalAllowances.h
@@ -69,7 +69,7 @@
   std::map<AccountName, Usage> Totals() const;
 
 private:
-  struct Local
+  struct AccountState
   {
     double available = 0;
     double wanted = 0;
@@ -87,8 +87,9 @@
 
   bool HasAllocatorContact(Common::TimePoint now) const;
   /// Units per second that this daemon adds while no allocator is reachable.
-  double LocalFillRate(const Local& local, const UsageLimit& limit, Common::TimePoint now) const;
-  void Fill(Local& local, const UsageLimit& limit, Common::TimePoint now);
+  double LocalFillRate(const AccountState& state, const UsageLimit& limit,
+                       Common::TimePoint now) const;
+  void Fill(AccountState& state, const UsageLimit& limit, Common::TimePoint now);
   const UsageLimit* LimitOf(const AccountName& account) const;
 
   UsageBound m_bound;
@@ -98,6 +99,6 @@
   std::optional<Common::TimePoint>
       m_last_grants_at;                          ///< Time of the last message from the allocator.
   std::optional<Common::TimePoint> m_started_at; ///< Time of the first request.
-  std::map<AccountName, Local> m_locals;
+  std::map<AccountName, AccountState> m_states;
 };
 } // namespace Accounts
--- a/Source/Core/Orders/Coordination.h
+++ b/Source/Core/Orders/Coordination.h
@@ -159,9 +159,9 @@
   static constexpr Common::Milliseconds LEASE_DURATION{3000};
   /// The holder calls the store twice a second; without a response for this long, the holder counts
   /// as cut off from it.
-  static constexpr Common::Milliseconds MAX_SILENCE{1200};
+  static constexpr Common::Milliseconds STORE_RESPONSE_TIMEOUT{1200};
   /// The holder issues no orders if its copy of the servers' entries is older. The difference to
-  /// `MAX_SILENCE` is the time within which its last orders have arrived.
+  /// `STORE_RESPONSE_TIMEOUT` is the time within which its last orders have arrived.
   static constexpr Common::Milliseconds MAX_AGE_FOR_ORDERS{900};
   /// At the start of a tenure a call with a follower's longer wait may still be open, so the age of
   /// the responses is ignored for this long.
@@ -181,14 +181,14 @@
     access.changes_since = [&follower](std::int64_t version) {
       return follower.ChangesSince(version);
     };
-    access.answer_age = [&follower] {
-      return follower.AnswerAge(Common::Now());
+    access.response_age = [&follower] {
+      return follower.ResponseAge(Common::Now());
     };
     access.proven_at = [&follower] {
       return follower.ProvenAt();
     };
-    access.take_proof = [&follower](Common::TimePoint moment) {
-      follower.TakeProof(moment);
+    access.apply_relayed_proof = [&follower](Common::TimePoint moment) {
+      follower.ApplyRelayedProof(moment);
     };
     access.apply_relayed = [&follower](std::int64_t from, std::int64_t to,
                                        const std::vector<RowChange>& rows) {
@@ -206,25 +206,25 @@
     return access;
   }
 
-  Common::Milliseconds OldestAnswerAge(Common::TimePoint now) const
+  Common::Milliseconds OldestResponseAge(Common::TimePoint now) const
   {
     Common::Milliseconds oldest{0};
     for (const Follower* table : m_shared_tables)
-      oldest = std::max(oldest, table->AnswerAge(now));
+      oldest = std::max(oldest, table->ResponseAge(now));
     return now - m_held_since < STARTUP_GRACE ? Common::Milliseconds(0) : oldest;
   }
 
-  Common::Milliseconds NewestAnswerAge(Common::TimePoint now) const
+  Common::Milliseconds NewestResponseAge(Common::TimePoint now) const
   {
     const auto age_of = [&](const Follower* table) {
-      return table->AnswerAge(now);
+      return table->ResponseAge(now);
     };
     return std::ranges::min(m_shared_tables | std::views::transform(age_of));
   }
 
   std::optional<OrderPermit> Permit(Common::TimePoint now) const
   {
-    const auto view_left = MAX_AGE_FOR_ORDERS - OldestAnswerAge(now);
+    const auto view_left = MAX_AGE_FOR_ORDERS - OldestResponseAge(now);
     if (!m_lease.MaySendOrders(now) || view_left < Common::Milliseconds(0))
       return std::nullopt;
     return OrderPermit{m_lease.Fence(), std::min(m_lease.OrdersUntil(), now + view_left)};
@@ -237,7 +237,8 @@
   void AbdicateIfCutOff(Common::TimePoint now)
   {
     // Right after an outage the last responses are old and the first new ones are still in transit.
-    if (!m_held || now - m_held_since < STARTUP_GRACE || NewestAnswerAge(now) <= MAX_SILENCE)
+    if (!m_held || now - m_held_since < STARTUP_GRACE ||
+        NewestResponseAge(now) <= STORE_RESPONSE_TIMEOUT)
       return;
     const LeaseAnnouncement lease = CurrentLease();
     m_lease.Abdicate();
--- a/Source/Core/Orders/Hub.cpp
+++ b/Source/Core/Orders/Hub.cpp
@@ -47,16 +47,16 @@
 /// Changes that are not confirmed for this long are sent again.
 constexpr Milliseconds RESEND_AFTER{300};
 /// A daemon that has sent no report for this long gets no more announcements.
-constexpr Milliseconds PEER_SILENT_AFTER{2000};
+constexpr Milliseconds PEER_TIMEOUT{2000};
 /// The holder counts as unresponsive after this many intervals plus the slack. Then each daemon
 /// reads from the platform itself; both together stay well below the 2 s in which a change has to
 /// be in force.
-constexpr int SILENT_INTERVALS = 2;
-constexpr Milliseconds SILENCE_SLACK{300};
+constexpr int HOLDER_TIMEOUT_INTERVALS = 2;
+constexpr Milliseconds HOLDER_TIMEOUT_SLACK{300};
 /// The holder's copy of a table is used only if the platform's last response to the holder is not
 /// older.
-constexpr Milliseconds MAX_ANSWER_AGE{900};
-/// How long the platform may hold the holder's own long polls; less than `MAX_ANSWER_AGE`.
+constexpr Milliseconds MAX_RESPONSE_AGE{900};
+/// How long the platform may hold the holder's own long polls; less than `MAX_RESPONSE_AGE`.
 constexpr Milliseconds HOLDER_POLL_WAIT{500};
 constexpr Milliseconds FOLLOWER_POLL_WAIT{2500};
 /// How long changes are batched between two calls: by the holder, whose orders follow each other as
@@ -74,11 +74,11 @@
 /// interval.
 constexpr std::size_t MAX_SENT_REPORTS = 64;
 
-void SetPlacements(HolderReport& report, PlacementUpdate news)
+void SetPlacements(HolderReport& report, PlacementUpdate update)
 {
-  report.placement_from = news.from;
-  report.placement_to = news.to;
-  report.placements = std::move(news.lines);
+  report.placement_from = update.from;
+  report.placement_to = update.to;
+  report.placements = std::move(update.lines);
 }
 } // namespace
 
@@ -160,7 +160,7 @@
   m_holder_since = Common::Now();
   m_permits.SetHolder(endpoint, own_lease ? std::optional(own_lease->fence) : std::nullopt);
   m_allowances.Configure(m_dispatcher.Settings().usage_bound);
-  m_allowances.Begin(own_lease ? own_lease->fence : 0);
+  m_allowances.BeginTenure(own_lease ? own_lease->fence : 0);
   SetPollWaits();
   for (const TableAccess& table : m_tables)
   {
@@ -189,7 +189,7 @@
 
 bool Hub::HasHolderContact() const
 {
-  const auto limit = RegularInterval() * SILENT_INTERVALS + SILENCE_SLACK;
+  const auto limit = RegularInterval() * HOLDER_TIMEOUT_INTERVALS + HOLDER_TIMEOUT_SLACK;
   return !m_own_lease && Common::Now() - m_last_announcement_at < limit;
 }
 
@@ -270,8 +270,8 @@
     const auto now = Common::Now();
     m_order_manager.OnDaemonReport(report, now);
     m_order_manager.SchedulePlan();
-    m_allowances.TakeReport({m_settings.self, HashOf(m_settings.run), report.grants_fence},
-                            report.allowances, now);
+    m_allowances.ApplyReport({m_settings.self, HashOf(m_settings.run), report.grants_fence},
+                             report.allowances, now);
     SendAnnouncement(true);
     return;
   }
@@ -372,7 +372,7 @@
     return;
   const auto now = Common::Now();
   std::erase_if(m_peers, [&](const auto& entry) {
-    return now - entry.second.last_report_at > PEER_SILENT_AFTER;
+    return now - entry.second.last_report_at > PEER_TIMEOUT;
   });
   if (const auto* accounts = GrantableAccounts(now); accounts != nullptr && regular)
     m_allowances.Allocate(*accounts, now);
@@ -435,7 +435,7 @@
   const Accounts::Directory* accounts = GrantableAccounts(now);
   if (accounts == nullptr)
     return;
-  m_allowances.TakeReport({report.vm, peer.run, report.grants_fence}, report.allowances, now);
+  m_allowances.ApplyReport({report.vm, peer.run, report.grants_fence}, report.allowances, now);
   const bool any_waits = std::ranges::any_of(report.allowances, [](const auto& line) {
     return line.wanted > 0;
   });
@@ -603,8 +603,8 @@
 void Hub::OnHolderReport(const HolderReport& report, const Http::Endpoint& from,
                          std::optional<Common::TimePoint> written_after)
 {
-  const std::pair age(report.fence, report.sequence);
-  if (age <= m_last_announcement)
+  const std::pair announcement_id(report.fence, report.sequence);
+  if (announcement_id <= m_last_announcement)
     return;
   const auto state = Daemons::Decode<HolderState>(report.state);
   if (!state)
@@ -618,7 +618,7 @@
     m_placement_applied = 0;
     m_crash_applied = 0;
   }
-  m_last_announcement = age;
+  m_last_announcement = announcement_id;
   m_min_handicap = Milliseconds(state->min_handicap_ms);
   if (state->abdicated)
   {
@@ -633,8 +633,8 @@
   m_last_announcement_at = Common::Now();
   m_daemons.Update(state->daemons, m_last_announcement_at);
   m_dispatcher.Limited().Permits().NoteHolderContact(m_last_announcement_at);
-  for (const RateLimits::LimitUpdate& news : state->limits)
-    m_permits.ApplyLimitUpdate(report.fence, news);
+  for (const RateLimits::LimitUpdate& update : state->limits)
+    m_permits.ApplyLimitUpdate(report.fence, update);
   m_dispatcher.ApplyDrainUpdate(report.fence, state->draining);
   if (m_on_lease_announcement && !m_own_lease)
     m_on_lease_announcement(
@@ -690,11 +690,11 @@
   m_update_states.resize(m_tables.size());
   for (std::size_t i = 0; i < std::min(updates.size(), m_tables.size()); ++i)
   {
-    const bool current = updates[i].answer_age_ms < MAX_ANSWER_AGE.count();
+    const bool current = updates[i].response_age_ms < MAX_RESPONSE_AGE.count();
     const bool complete =
         m_tables[i].apply_relayed(updates[i].from, updates[i].to, updates[i].rows);
     if (complete && written_after && updates[i].proof_age_ms >= 0)
-      m_tables[i].take_proof(*written_after - Milliseconds(updates[i].proof_age_ms));
+      m_tables[i].apply_relayed_proof(*written_after - Milliseconds(updates[i].proof_age_ms));
     if (current && complete && Common::IsOn(Common::Mechanism::RelayedTables))
     {
       m_update_states[i].complete_at = now;
--- a/Source/Core/Orders/LeaseManager.h
+++ b/Source/Core/Orders/LeaseManager.h
@@ -138,10 +138,10 @@
   const std::optional<LeaseRecord>& Record() const { return m_record; }
 
   /// Sets the number of daemons that may contend for the lease and the lowest handicap among them.
-  void SetContenders(int daemons, Common::Milliseconds least_handicap)
+  void SetContenders(int daemons, Common::Milliseconds min_handicap)
   {
     m_contenders = static_cast<std::uint64_t>(std::max(daemons, 1));
-    m_min_handicap = least_handicap;
+    m_min_handicap = min_handicap;
   }
 
   /// Releases the lease, so that the next holder need not wait for it to expire.
@@ -201,7 +201,7 @@
     {
       const auto renew_at = m_valid_until - m_settings.duration * (1 - RENEW_FRACTION);
       if (now >= renew_at)
-        Write(now, "renewed");
+        WriteLease(now, "renewed");
       return;
     }
     if (!IsFree(now))
@@ -214,7 +214,7 @@
     if (!m_acquire_at)
       m_acquire_at = now + AcquisitionDelay(now);
     if (now >= *m_acquire_at)
-      Write(now, "acquired");
+      WriteLease(now, "acquired");
   }
 
   /// Delay before this daemon tries to acquire a free lease. The last holder need not wait for the
@@ -249,7 +249,7 @@
     return now > m_free_at;
   }
 
-  void Write(Common::TimePoint now, const char* what)
+  void WriteLease(Common::TimePoint now, const char* how)
   {
     m_writing = true;
     const bool ordering = m_fence && now >= m_orders_from;
@@ -257,13 +257,13 @@
     const bool after_other_holder = m_record && !(IsOwnLease() && m_record->ordering);
     m_store.ReplaceLease(
         m_version, record,
-        [this, now, what, record, after_other_holder](Common::Result<std::int64_t> result) {
+        [this, now, how, record, after_other_holder](Common::Result<std::int64_t> result) {
           m_writing = false;
-          OnWriteResult(now, what, record, after_other_holder, std::move(result));
+          OnWriteResult(now, how, record, after_other_holder, std::move(result));
         });
   }
 
-  void OnWriteResult(Common::TimePoint sent, const char* what, const LeaseRecord& record,
+  void OnWriteResult(Common::TimePoint sent, const char* how, const LeaseRecord& record,
                      bool after_other_holder, Common::Result<std::int64_t> result)
   {
     if (m_released)
@@ -296,7 +296,7 @@
     // The previous holder may have sent orders until its lease expired.
     m_orders_from = after_other_holder ? now + m_settings.holder_pause : now;
     Common::LogEvent(Common::LogLevel::Info, "lease-acquired",
-                     {{"fence", *m_fence}, {"how", what}, {"after_another", after_other_holder}});
+                     {{"fence", *m_fence}, {"how", how}, {"after_another", after_other_holder}});
   }
 
   void WriteRelease()
--- a/Source/Core/Orders/MessageSize.cpp
+++ b/Source/Core/Orders/MessageSize.cpp
@@ -36,7 +36,7 @@
 /// Allowances get this fraction (1/N) of the space in a report, enough for some 400 accounts.
 constexpr std::size_t ALLOWANCE_DIVISOR = 4;
 /// Maximum number of servers that a message identifies only by a number.
-constexpr std::size_t MAX_SERVERS_NAMED = 250;
+constexpr std::size_t MAX_LISTED_SERVERS = 250;
 
 std::size_t EncodedSizeBound(const Accounts::AllowanceLine& line)
 {
@@ -104,29 +104,29 @@
 
 void TruncateToDatagram(DaemonReport& report)
 {
-  std::size_t room = MAX_DATAGRAM - REPORT_HEADER_BYTES;
+  std::size_t bytes_left = MAX_DATAGRAM - REPORT_HEADER_BYTES;
   std::ranges::stable_sort(report.allowances, std::ranges::greater(),
                            &Accounts::AllowanceLine::wanted);
-  TruncateTo(report.allowances, room / ALLOWANCE_DIVISOR, "allowances");
-  room -= room / ALLOWANCE_DIVISOR;
+  TruncateTo(report.allowances, bytes_left / ALLOWANCE_DIVISOR, "allowances");
+  bytes_left -= bytes_left / ALLOWANCE_DIVISOR;
   std::ranges::stable_sort(report.demand, std::ranges::greater(), &DemandLine::waiting);
   // The crash cases were limited to `CRASH_BYTES` when the report was made.
-  room -= CRASH_BYTES;
-  report.backing_off.resize(std::min(report.backing_off.size(), MAX_SERVERS_NAMED));
-  room -= report.backing_off.size() * sizeof(ServerHash);
-  TruncateTo(report.demand, room / 2, "demand");
+  bytes_left -= CRASH_BYTES;
+  report.backing_off.resize(std::min(report.backing_off.size(), MAX_LISTED_SERVERS));
+  bytes_left -= report.backing_off.size() * sizeof(ServerHash);
+  TruncateTo(report.demand, bytes_left / 2, "demand");
   std::ranges::stable_sort(report.loads, std::ranges::greater(), &LoadLine::in_flight);
-  TruncateTo(report.loads, room / 2, "loads");
+  TruncateTo(report.loads, bytes_left / 2, "loads");
 }
 
 void TruncateToDatagram(PermitRequest& request)
 {
-  const std::size_t room = (MAX_DATAGRAM - REPORT_HEADER_BYTES) / 2;
+  const std::size_t bytes_per_list = (MAX_DATAGRAM - REPORT_HEADER_BYTES) / 2;
   std::ranges::stable_sort(request.observations, {}, &RateLimits::LimitObservation::age_ms);
-  TruncateTo(request.observations, room, "limits");
+  TruncateTo(request.observations, bytes_per_list, "limits");
   std::ranges::stable_sort(request.demands, std::ranges::greater(),
                            &RateLimits::PermitDemand::count);
-  TruncateTo(request.demands, room, "wants");
-  request.draining.resize(std::min(request.draining.size(), MAX_SERVERS_NAMED));
+  TruncateTo(request.demands, bytes_per_list, "wants");
+  request.draining.resize(std::min(request.draining.size(), MAX_LISTED_SERVERS));
 }
 } // namespace Orders
--- a/Source/Core/Orders/Messages.h
+++ b/Source/Core/Orders/Messages.h
@@ -30,9 +30,9 @@
 /// Changes of one table that the holder relays.
 struct TableUpdate
 {
-  std::int64_t from = 0;          ///< The message has all rows that changed after this version,
-  std::int64_t to = 0;            ///< up to and including this one.
-  std::int64_t answer_age_ms = 0; ///< Age of the platform's last response to the holder.
+  std::int64_t from = 0;            ///< The message has all rows that changed after this version,
+  std::int64_t to = 0;              ///< up to and including this one.
+  std::int64_t response_age_ms = 0; ///< Age of the platform's last response to the holder.
   /// Time since the holder sent the call whose response showed that `to` was the newest version.
   /// Negative if there is no such call, or if changes before `to` are missing here.
   std::int64_t proof_age_ms = -1;
@@ -42,7 +42,7 @@
   template <typename Archive>
   void serialize(Archive& archive)
   {
-    archive(from, to, answer_age_ms, proof_age_ms, omitted, rows);
+    archive(from, to, response_age_ms, proof_age_ms, omitted, rows);
   }
 };
 
--- a/Source/Core/Orders/OrderManager.cpp
+++ b/Source/Core/Orders/OrderManager.cpp
@@ -25,7 +25,7 @@
 /// Delay before planning, so that reports arriving close together are handled by one plan.
 constexpr Milliseconds PLAN_DELAY{6};
 /// A daemon without a report for this long is no longer counted.
-constexpr Milliseconds DAEMON_SILENT_AFTER{1500};
+constexpr Milliseconds DAEMON_TIMEOUT{1500};
 /// Time after which an accepted order should be visible in the server's entry. Once it has passed,
 /// the server's report is read.
 constexpr Milliseconds ENTRY_SLACK{600};
@@ -72,21 +72,21 @@
 }
 } // namespace
 
-const char* ToString(OrderAnswer answer)
+const char* ToString(OrderResult result)
 {
-  switch (answer)
+  switch (result)
   {
-  case OrderAnswer::Accepted:
+  case OrderResult::Accepted:
     return "accepted";
-  case OrderAnswer::AlreadyInState:
+  case OrderResult::AlreadyInState:
     return "already_so";
-  case OrderAnswer::Busy:
+  case OrderResult::Busy:
     return "busy";
-  case OrderAnswer::Fenced:
+  case OrderResult::Fenced:
     return "fenced";
-  case OrderAnswer::OtherInstance:
+  case OrderResult::OtherInstance:
     return "other_server";
-  case OrderAnswer::Malformed:
+  case OrderResult::Malformed:
     return "malformed";
   }
   return "unknown";
@@ -147,10 +147,10 @@
       m_adapter_last_demand[line.artifact] = now;
 }
 
-void OrderManager::DropSilentDaemons(TimePoint now)
+void OrderManager::DropUnresponsiveDaemons(TimePoint now)
 {
   std::erase_if(m_daemons, [&](const auto& entry) {
-    if (now - entry.second.last_report_at <= DAEMON_SILENT_AFTER)
+    if (now - entry.second.last_report_at <= DAEMON_TIMEOUT)
       return false;
     m_in_flight_totals.RemoveDaemon(entry.first);
     for (auto& [pool, plan_input] : m_plan_inputs)
@@ -180,7 +180,7 @@
 {
   if (!m_configuration || !m_permit())
     return;
-  DropSilentDaemons(now);
+  DropUnresponsiveDaemons(now);
   CountBackoffs();
   RebuildServerRefs();
   for (ServerRef& ref : m_server_refs)
@@ -285,13 +285,13 @@
   open.call.expected_sequence = record.sequence;
   const InstanceId instance = server->Entry().instance;
   const std::uint64_t id = open.id;
-  m_channel.send(open.call, [this, instance, id](Common::Result<OrderAnswer> answer) {
-    OnOrderAnswer(instance, id, std::move(answer));
+  m_channel.send(open.call, [this, instance, id](Common::Result<OrderResult> result) {
+    OnOrderResult(instance, id, std::move(result));
   });
 }
 
-void OrderManager::OnOrderAnswer(const InstanceId& instance, std::uint64_t id,
-                                 Common::Result<OrderAnswer> answer)
+void OrderManager::OnOrderResult(const InstanceId& instance, std::uint64_t id,
+                                 Common::Result<OrderResult> result)
 {
   const auto found = m_server_records.find(instance);
   if (found == m_server_records.end() || !found->second.open || found->second.open->id != id)
@@ -301,14 +301,14 @@
   const auto now = Common::Now();
   open.call_pending = false;
   Common::LogEvent(
-      answer ? Common::LogLevel::Info : Common::LogLevel::Warning, "order-answer",
+      result ? Common::LogLevel::Info : Common::LogLevel::Warning, "order-answer",
       {{"order", id},
        {"instance", instance},
-       {"answer", answer ? ToString(*answer) : Common::ToString(answer.Reason().kind)}});
-  if (!answer)
+       {"answer", result ? ToString(*result) : Common::ToString(result.Reason().kind)}});
+  if (!result)
   {
     open.next_check = now + QUERY_INTERVAL;
-    if (answer.Reason().kind != Common::FailureKind::NotSent)
+    if (result.Reason().kind != Common::FailureKind::NotSent)
     {
       RecordUnanswered(record, open, now);
       return;
@@ -317,28 +317,28 @@
     CloseOrder(instance, record, "not_sent");
     return;
   }
-  switch (*answer)
+  switch (*result)
   {
-  case OrderAnswer::Accepted:
+  case OrderResult::Accepted:
     open.accepted = true;
     record.sequence = open.call.expected_sequence + 1;
     open.next_check = now + ENTRY_SLACK;
     if (open.call.operation == OrderCall::Operation::Load)
       open.next_check += LOAD_SLACK;
     break;
-  case OrderAnswer::AlreadyInState:
+  case OrderResult::AlreadyInState:
     open.accepted = true;
     open.next_check = now + ENTRY_SLACK;
     break;
-  case OrderAnswer::Busy:
+  case OrderResult::Busy:
     // The expected sequence is wrong, or an earlier unanswered order is being carried out.
-    CloseOrder(instance, record, ToString(*answer));
+    CloseOrder(instance, record, ToString(*result));
     break;
-  case OrderAnswer::OtherInstance:
-  case OrderAnswer::Fenced:
-  case OrderAnswer::Malformed:
+  case OrderResult::OtherInstance:
+  case OrderResult::Fenced:
+  case OrderResult::Malformed:
     record.unusable_until = now + REJECTION_PAUSE;
-    CloseOrder(instance, record, ToString(*answer));
+    CloseOrder(instance, record, ToString(*result));
     break;
   }
 }
--- a/Source/Core/Orders/OrderManager.h
+++ b/Source/Core/Orders/OrderManager.h
@@ -47,7 +47,7 @@
   Common::TimePoint until; ///< Unless the lease is renewed.
 };
 
-enum class OrderAnswer
+enum class OrderResult
 {
   Accepted,       ///< The order is being carried out.
   AlreadyInState, ///< The server is already in the requested state.
@@ -56,7 +56,7 @@
   OtherInstance,  ///< Another instance uses the address.
   Malformed,
 };
-const char* ToString(OrderAnswer answer);
+const char* ToString(OrderResult result);
 
 /// A backend server's report on itself; the data is a few hundred ms old.
 struct ServerReport
@@ -71,7 +71,7 @@
 /// Transport of orders to backend servers, implemented by the platform layer.
 struct OrderChannel
 {
-  std::function<void(const OrderCall&, std::function<void(Common::Result<OrderAnswer>)>)> send;
+  std::function<void(const OrderCall&, std::function<void(Common::Result<OrderResult>)>)> send;
   std::function<void(const Gateway::InstanceId&, const Http::Endpoint&,
                      std::function<void(Common::Result<ServerReport>)>)>
       read_report;
@@ -201,7 +201,7 @@
     std::uint64_t entry_revision = 0; ///< Revision of the entry last processed.
   };
 
-  void DropSilentDaemons(Common::TimePoint now);
+  void DropUnresponsiveDaemons(Common::TimePoint now);
   void CountBackoffs();
   /// Rebuilds `m_server_refs` and the servers of all plan inputs if the set of servers or the
   /// configuration has changed.
@@ -248,8 +248,8 @@
   /// Sends the order that follows a completed one, if any.
   void StartNextOrder(const Gateway::ServerPtr& server, const OpenOrder& done);
   void SendOpenOrder(const Gateway::ServerPtr& server, ServerRecord& record);
-  void OnOrderAnswer(const Gateway::InstanceId& instance, std::uint64_t id,
-                     Common::Result<OrderAnswer> answer);
+  void OnOrderResult(const Gateway::InstanceId& instance, std::uint64_t id,
+                     Common::Result<OrderResult> result);
   void QueryState(const Gateway::ServerPtr& server, ServerRecord& record, Common::TimePoint now);
   void OnStateReport(const Gateway::InstanceId& instance,
                      const Common::Result<ServerReport>& report);
@@ -259,8 +259,8 @@
   void CloseOrder(const Gateway::InstanceId& instance, ServerRecord& record, const char* outcome);
   void SendAdapterOrder(const Gateway::ServerPtr& server, OrderCall::Operation operation,
                         const Gateway::Artifact& artifact);
-  void OnAdapterOrderAnswer(const Gateway::InstanceId& instance, OrderCall call,
-                            Common::Result<OrderAnswer> answer);
+  void OnAdapterOrderResult(const Gateway::InstanceId& instance, OrderCall call,
+                            Common::Result<OrderResult> result);
 
   /// Announces loaded adapters to the daemons once they are usable.
   void AnnounceAdapters();
--- a/Source/Core/Orders/OrderManagerAdapters.cpp
+++ b/Source/Core/Orders/OrderManagerAdapters.cpp
@@ -129,13 +129,13 @@
     if (m_on_placement_change)
       m_on_placement_change();
   }
-  m_channel.send(call, [this, instance = call.instance, call](Common::Result<OrderAnswer> answer) {
-    OnAdapterOrderAnswer(instance, call, std::move(answer));
+  m_channel.send(call, [this, instance = call.instance, call](Common::Result<OrderResult> result) {
+    OnAdapterOrderResult(instance, call, std::move(result));
   });
 }
 
-void OrderManager::OnAdapterOrderAnswer(const InstanceId& instance, OrderCall call,
-                                        Common::Result<OrderAnswer> answer)
+void OrderManager::OnAdapterOrderResult(const InstanceId& instance, OrderCall call,
+                                        Common::Result<OrderResult> result)
 {
   const auto found = m_server_records.find(instance);
   if (found == m_server_records.end())
@@ -145,27 +145,27 @@
   record.adapter_call_pending = false;
   const bool is_load = call.operation == OrderCall::Operation::Load;
   Common::LogEvent(
-      answer ? Common::LogLevel::Info : Common::LogLevel::Warning, "adapter-order",
+      result ? Common::LogLevel::Info : Common::LogLevel::Warning, "adapter-order",
       {{"instance", instance},
        {"operation", is_load ? "load" : "unload"},
        {"artifact", call.artifact.ToString()},
        {"sequence", call.expected_sequence},
-       {"answer", answer ? ToString(*answer) : Common::ToString(answer.Reason().kind)}});
-  const bool taken =
-      answer && (*answer == OrderAnswer::Accepted || *answer == OrderAnswer::AlreadyInState);
-  if (!taken)
+       {"answer", result ? ToString(*result) : Common::ToString(result.Reason().kind)}});
+  const bool succeeded =
+      result && (*result == OrderResult::Accepted || *result == OrderResult::AlreadyInState);
+  if (!succeeded)
   {
     record.unloading_adapters.erase(call.artifact);
     record.state_known = false;
     return;
   }
-  if (*answer == OrderAnswer::Accepted || !is_load)
+  if (*result == OrderResult::Accepted || !is_load)
     record.sequence = std::max(record.sequence, call.expected_sequence + 1);
   if (!is_load)
   {
     // An adapter in use is unloaded when its last request has ended; the server's entry then shows
     // it.
-    if (*answer == OrderAnswer::AlreadyInState)
+    if (*result == OrderResult::AlreadyInState)
     {
       record.unloading_adapters.erase(call.artifact);
       record.unloaded_adapters.insert(call.artifact);
--- a/Source/Core/Orders/PermitExchange.cpp
+++ b/Source/Core/Orders/PermitExchange.cpp
@@ -19,15 +19,15 @@
 constexpr Milliseconds REQUEST_DELAY{4};
 constexpr Milliseconds MIN_REQUEST_INTERVAL{20};
 /// Interval at which open requests are sent again, as a message may have been lost.
-constexpr Milliseconds REPEAT_AFTER{150};
+constexpr Milliseconds RESEND_AFTER{150};
 /// The same for offers to probe a server, which are less urgent.
-constexpr Milliseconds REPEAT_PROBE_OFFERS_AFTER{1000};
+constexpr Milliseconds RESEND_PROBE_OFFERS_AFTER{1000};
 /// Number of sent requests that are remembered to match the holder's echo.
 constexpr std::size_t MAX_SENT_REQUESTS = 64;
 /// Maximum number of limits and of draining servers in one message: some 7 KB, twice a second.
 constexpr std::size_t MAX_UPDATE_LINES = 250;
-/// A daemon that has sent no request for this long is forgotten.
-constexpr Milliseconds PEER_SILENT_AFTER{10000};
+/// The state of a daemon that has sent no request for this long is dropped.
+constexpr Milliseconds PEER_TIMEOUT{10000};
 } // namespace
 
 PermitExchange::PermitExchange(Settings settings, Gateway::Dispatcher& dispatcher, Sender send)
@@ -106,7 +106,7 @@
                            std::ranges::any_of(request.demands, [](const auto& demand) {
                              return demand.count > 0;
                            });
-    m_repeat_timer.Start(is_urgent ? REPEAT_AFTER : REPEAT_PROBE_OFFERS_AFTER, [this] {
+    m_resend_timer.Start(is_urgent ? RESEND_AFTER : RESEND_PROBE_OFFERS_AFTER, [this] {
       SchedulePermitRequest();
     });
   }
@@ -191,7 +191,7 @@
   if (!m_own_tenure || !m_may_grant || !m_may_grant())
     return;
   std::erase_if(m_peers, [now](const auto& entry) {
-    return now - entry.second.last_request_at > PEER_SILENT_AFTER;
+    return now - entry.second.last_request_at > PEER_TIMEOUT;
   });
   std::map<Common::VmId, PermitReply> replies;
   for (const RateLimits::Grant& grant : m_allocator.GrantPermits(now))
@@ -225,25 +225,25 @@
     return m_dispatcher.Servers().FindByKey(server) != nullptr;
   });
   UpdateAllocatorLimits(now);
-  auto news = book.NextUpdate(MAX_UPDATE_LINES, now);
-  for (RateLimits::LimitLine& line : news.lines)
+  auto update = book.NextUpdate(MAX_UPDATE_LINES, now);
+  for (RateLimits::LimitLine& line : update.lines)
   {
     line.waiting = m_allocator.Waiting(line.server, now);
     line.free_in_ms =
         static_cast<std::uint32_t>(m_allocator.TimeToNextPermit(line.server, now).count());
   }
-  m_dispatcher.Limited().ApplyQueues(news, now);
-  return news;
+  m_dispatcher.Limited().ApplyQueues(update, now);
+  return update;
 }
 
-void PermitExchange::ApplyLimitUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& news)
+void PermitExchange::ApplyLimitUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& update)
 {
   if (m_own_tenure)
     return;
   if (tenure > m_tenure)
     SchedulePermitRequest();
   m_tenure = std::max(m_tenure, tenure);
-  m_dispatcher.Limited().ApplyUpdate(tenure, news);
+  m_dispatcher.Limited().ApplyUpdate(tenure, update);
 }
 
 void PermitExchange::OnReply(const PermitReply& reply)
@@ -256,7 +256,7 @@
   // The validity counts from the time of the request, so that neither a message that waited in a
   // socket nor a suspended process extends a permit.
   const auto sent = std::ranges::find(m_sent, reply.sequence, &SentRequest::sequence);
-  if (sent == m_sent.end() || reply.held_ms < 0 || reply.held_ms > PEER_SILENT_AFTER.count())
+  if (sent == m_sent.end() || reply.held_ms < 0 || reply.held_ms > PEER_TIMEOUT.count())
     return;
   const auto until = sent->at + Milliseconds(reply.held_ms) + RateLimits::PERMIT_VALID;
   for (const RateLimits::PermitLine& line : reply.permits)
--- a/Source/Core/Orders/PermitExchange.h
+++ b/Source/Core/Orders/PermitExchange.h
@@ -50,7 +50,7 @@
   std::vector<RateLimits::ServerKey> NextDrainingServers(Common::TimePoint now);
 
   /// Handles messages from the holder.
-  void ApplyLimitUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& news);
+  void ApplyLimitUpdate(std::int64_t tenure, const RateLimits::LimitUpdate& update);
   void OnReply(const PermitReply& reply);
 
   const RateLimits::PermitAllocator::Counters& Granted() const { return m_allocator.Totals(); }
@@ -98,7 +98,7 @@
   /// Tenure and number of the last reply that was applied.
   std::pair<std::int64_t, std::uint64_t> m_last_reply;
   Common::OwnedTimer m_request_timer;
-  Common::OwnedTimer m_repeat_timer;
+  Common::OwnedTimer m_resend_timer;
   Common::OwnedTimer m_grant_timer;
 };
 } // namespace Orders
--- a/Source/Core/Orders/SharedTables.h
+++ b/Source/Core/Orders/SharedTables.h
@@ -44,11 +44,11 @@
 {
   std::function<std::int64_t()> version;
   std::function<std::optional<RowChanges>(std::int64_t)> changes_since;
-  std::function<Common::Milliseconds()> answer_age;
+  std::function<Common::Milliseconds()> response_age;
   /// When this copy was last confirmed to be the newest version.
   std::function<std::optional<Common::TimePoint>()> proven_at;
   /// Reports that the holder's copy, which equals this one, was the newest version at that time.
-  std::function<void(Common::TimePoint)> take_proof;
+  std::function<void(Common::TimePoint)> apply_relayed_proof;
   std::function<bool(std::int64_t, std::int64_t, const std::vector<RowChange>&)> apply_relayed;
   std::function<void(bool, DirectReadReason)> set_relayed;
   std::function<void(Common::Milliseconds)> set_wait;
--- a/Source/Core/Orders/TableFollower.h
+++ b/Source/Core/Orders/TableFollower.h
@@ -78,9 +78,9 @@
   std::int64_t Version() const { return m_have_snapshot ? m_version : 0; }
   bool HasSnapshot() const { return m_have_snapshot; }
   /// Time since the source's last response.
-  Common::Milliseconds AnswerAge(Common::TimePoint now) const
+  Common::Milliseconds ResponseAge(Common::TimePoint now) const
   {
-    return std::chrono::ceil<Common::Milliseconds>(now - m_answered_at);
+    return std::chrono::ceil<Common::Milliseconds>(now - m_last_response_at);
   }
 
   /// When this copy was last confirmed to be the newest version: the time at which this daemon, or
@@ -89,10 +89,10 @@
 
   /// The daemon that relays the table confirmed that a copy equal to this one was the newest
   /// version.
-  void TakeProof(Common::TimePoint moment)
+  void ApplyRelayedProof(Common::TimePoint moment)
   {
     if (m_have_snapshot)
-      Prove(moment);
+      RecordProof(moment);
   }
 
   /// Sets how long the source may hold a call that waits for changes. The daemon that relays its
@@ -129,17 +129,17 @@
     const auto is_new = [before = m_version](const RowChange& change) {
       return change.version > before;
     };
-    std::vector<RowChange> fresh;
-    std::ranges::copy_if(changes, std::back_inserter(fresh), is_new);
-    const auto rows = m_rows.UnpackAll(fresh);
+    std::vector<RowChange> new_changes;
+    std::ranges::copy_if(changes, std::back_inserter(new_changes), is_new);
+    const auto rows = m_rows.UnpackAll(new_changes);
     if (!rows)
     {
       Common::LogEvent(Common::LogLevel::Warning, "relayed-rows-refused",
                        {{"table", m_table}, {"version", to}, {"reason", rows.Reason().detail}});
       return false;
     }
-    for (std::size_t i = 0; i < fresh.size(); ++i)
-      Take((*rows)[i], std::move(fresh[i]));
+    for (std::size_t i = 0; i < new_changes.size(); ++i)
+      ApplyChange((*rows)[i], std::move(new_changes[i]));
     m_version = std::max(m_version, to);
     return true;
   }
@@ -171,21 +171,21 @@
   {
     m_calling = true;
     if (first_key.empty())
-      m_snapshot_asked_at = Common::Now();
+      m_snapshot_requested_at = Common::Now();
     m_source.Read(m_table, first_key, [this, first_key](Common::Result<TableRows> page) {
       m_calling = false;
-      TakePage(first_key, std::move(page));
+      OnPage(first_key, std::move(page));
     });
   }
 
-  void TakePage(const std::string& first_key, Common::Result<TableRows> page)
+  void OnPage(const std::string& first_key, Common::Result<TableRows> page)
   {
     if (!page)
     {
       OnFailure(page.Reason());
       return;
     }
-    OnAnswer();
+    OnResponse();
     if (!m_snapshot_version)
       m_snapshot_version = page->version;
     // A page starts with the last key of the previous page, which is already in the snapshot.
@@ -206,8 +206,8 @@
     for (const TableRow& row : rows)
       m_rows.Put(row);
     m_events.on_snapshot(rows);
-    Prove(m_snapshot_asked_at);
-    Continue();
+    RecordProof(m_snapshot_requested_at);
+    FollowUnlessRelayed();
   }
 
   /// The first key of the next page. Pages start at the last known key, whose row is skipped. If
@@ -219,7 +219,7 @@
     return last_key == first_key ? last_key + '\x01' : last_key;
   }
 
-  void Continue()
+  void FollowUnlessRelayed()
   {
     // A source that stopped responding is called without a wait, so that its first response shows
     // at once that it is back.
@@ -230,14 +230,15 @@
   void Follow(Common::Milliseconds wait)
   {
     m_calling = true;
-    const auto asked_at = Common::Now();
-    m_source.Follow(m_table, m_version, wait, [this, asked_at](Common::Result<TableRows> changes) {
-      m_calling = false;
-      TakeChanges(std::move(changes), asked_at);
-    });
+    const auto requested_at = Common::Now();
+    m_source.Follow(m_table, m_version, wait,
+                    [this, requested_at](Common::Result<TableRows> changes) {
+                      m_calling = false;
+                      OnChanges(std::move(changes), requested_at);
+                    });
   }
 
-  void TakeChanges(Common::Result<TableRows> changes, Common::TimePoint asked_at)
+  void OnChanges(Common::Result<TableRows> changes, Common::TimePoint requested_at)
   {
     if (!changes)
     {
@@ -246,18 +247,18 @@
       OnFailure(changes.Reason());
       return;
     }
-    OnAnswer();
+    OnResponse();
     const bool had_changes = !changes->rows.empty();
     Apply(changes->rows, changes->version);
     if (!changes->more)
-      Prove(asked_at);
+      RecordProof(requested_at);
     if (!had_changes || m_batch_delay <= Common::Milliseconds(0))
     {
-      Continue();
+      FollowUnlessRelayed();
       return;
     }
     m_retry_timer.Start(m_batch_delay, [this] {
-      Continue();
+      FollowUnlessRelayed();
     });
   }
 
@@ -266,11 +267,11 @@
     const std::int64_t before = m_version;
     for (const TableRow& row : rows)
       if (row.version > before)
-        Take(row, m_rows.Pack(row));
+        ApplyChange(row, m_rows.Pack(row));
     m_version = std::max(m_version, to);
   }
 
-  void Take(const TableRow& row, RowChange change)
+  void ApplyChange(const TableRow& row, RowChange change)
   {
     m_rows.Put(row);
     m_log.push_back(std::move(change));
@@ -282,16 +283,16 @@
     m_events.on_change(row);
   }
 
-  void Prove(Common::TimePoint moment)
+  void RecordProof(Common::TimePoint moment)
   {
     m_proven_at = std::max(m_proven_at.value_or(moment), moment);
     if (m_events.on_proven)
       m_events.on_proven(*m_proven_at);
   }
 
-  void OnAnswer()
+  void OnResponse()
   {
-    m_answered_at = Common::Now();
+    m_last_response_at = Common::Now();
     m_failures = 0;
     if (!std::exchange(m_lost, false))
       return;
@@ -323,7 +324,7 @@
       if (!m_have_snapshot)
         Start();
       else
-        Continue();
+        FollowUnlessRelayed();
     });
   }
 
@@ -341,8 +342,8 @@
   bool m_calling = false;
   bool m_lost = false;
   int m_failures = 0;
-  Common::TimePoint m_answered_at;
-  Common::TimePoint m_snapshot_asked_at; ///< When its first page was requested.
+  Common::TimePoint m_last_response_at;
+  Common::TimePoint m_snapshot_requested_at; ///< When its first page was requested.
   std::optional<Common::TimePoint> m_proven_at;
   KnownRows m_rows;
   std::deque<RowChange> m_log; ///< Changes after `m_log_floor`, oldest first.
--- a/Source/Core/Orders/UpdateWriter.cpp
+++ b/Source/Core/Orders/UpdateWriter.cpp
@@ -56,7 +56,7 @@
   TableUpdate update;
   update.to = table.version();
   update.from = update.to;
-  update.answer_age_ms = table.answer_age().count();
+  update.response_age_ms = table.response_age().count();
   auto changes = table.changes_since(since);
   if (!changes)
     return update;
--- a/Source/UnitTests/Accounts/AllowanceReplayTest.cpp
+++ b/Source/UnitTests/Accounts/AllowanceReplayTest.cpp
@@ -62,7 +62,7 @@
     for (std::size_t i = 0; i < m_daemons.size(); ++i)
       Restart(i);
     m_allocator.Configure(BOUND);
-    m_allocator.Begin(m_tenure);
+    m_allocator.BeginTenure(m_tenure);
   }
 
   /// Sets the account's rate; its burst is one second of the rate.
@@ -92,7 +92,7 @@
   void ChangeAllocator()
   {
     ++m_tenure;
-    m_allocator.Begin(m_tenure);
+    m_allocator.BeginTenure(m_tenure);
   }
 
   void Run(Milliseconds span, double units_per_second)
@@ -186,8 +186,8 @@
     if (reaches && (asks || m_now - daemon.reported_at >= REPORT_INTERVAL))
     {
       const Common::VmId vm(std::to_string(index));
-      m_allocator.TakeReport({vm, daemon.run, daemon.local.Tenure()}, daemon.local.Report(m_now),
-                             m_now);
+      m_allocator.ApplyReport({vm, daemon.run, daemon.local.Tenure()}, daemon.local.Report(m_now),
+                              m_now);
       if (asks)
         m_allocator.AllocateWanted(*m_accounts, vm, m_now);
       else
@@ -435,16 +435,16 @@
     const auto accounts = *Directory::Build({spec});
     AllowanceAllocator allocator;
     allocator.Configure(BOUND);
-    allocator.Begin(2);
+    allocator.BeginTenure(2);
     const Common::VmId vm("1");
     const AllowanceLine before{name, 100, 500000, 1000, 0, 1000};
     const TimePoint begin = TimePoint() + Milliseconds(1000000);
-    allocator.TakeReport({vm, 1, 1}, std::vector{before}, begin);
+    allocator.ApplyReport({vm, 1, 1}, std::vector{before}, begin);
     allocator.Allocate(*accounts, begin);
     const AllowanceLine after{name, 100, 0, 1000, 1000, 1000};
     for (int ms = 0; ms <= 2000; ms += 400)
     {
-      allocator.TakeReport({vm, 1, 2}, std::vector{after}, begin + Milliseconds(ms));
+      allocator.ApplyReport({vm, 1, 2}, std::vector{after}, begin + Milliseconds(ms));
       allocator.Allocate(*accounts, begin + Milliseconds(ms));
     }
     const auto grants = allocator.GrantsFor(vm);
--- a/Source/UnitTests/Accounts/DirectoryTest.cpp
+++ b/Source/UnitTests/Accounts/DirectoryTest.cpp
@@ -37,11 +37,11 @@
   CPPUNIT_TEST_SUITE(DirectoryTest);
   CPPUNIT_TEST(FindsAccountsByTheirKeys);
   CPPUNIT_TEST(KeysThatDifferInCaseDiffer);
-  CPPUNIT_TEST(RefusesAccountsWithoutNameAndEmptyKeys);
+  CPPUNIT_TEST(RejectsAccountsWithoutNameAndEmptyKeys);
   CPPUNIT_TEST(AccountWithoutKeysIsValid);
   CPPUNIT_TEST(RejectsNamesAndKeysThatAreInvalidInHeaders);
-  CPPUNIT_TEST(RefusesAKeyOfTwoAccounts);
-  CPPUNIT_TEST(RefusesTwoAccountsOfOneName);
+  CPPUNIT_TEST(RejectsAKeyOfTwoAccounts);
+  CPPUNIT_TEST(RejectsTwoAccountsOfOneName);
   CPPUNIT_TEST(RejectsInvalidLimits);
   CPPUNIT_TEST(ErrorMessagesContainNoKey);
   CPPUNIT_TEST(WithoutAccountsNoKeyIsRequired);
@@ -79,7 +79,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), (*directory)->All().size());
   }
 
-  void RefusesAccountsWithoutNameAndEmptyKeys()
+  void RejectsAccountsWithoutNameAndEmptyKeys()
   {
     CPPUNIT_ASSERT(
         Contains(BuildError({Spec("a", {"k"}), Spec("", {"l"})}), "account 1: it has no name"));
@@ -94,14 +94,14 @@
     CPPUNIT_ASSERT(Contains(BuildError({Spec("a", {std::string(65536, 'k')})}), "too long"));
   }
 
-  void RefusesAKeyOfTwoAccounts()
+  void RejectsAKeyOfTwoAccounts()
   {
     CPPUNIT_ASSERT(Contains(BuildError({Spec("a", {"k"}), Spec("b", {"l", "k"})}),
                             "account 1 (b): another account holds one of its keys"));
     CPPUNIT_ASSERT_EQUAL(std::string(), BuildError({Spec("a", {"k", "k"})}));
   }
 
-  void RefusesTwoAccountsOfOneName()
+  void RejectsTwoAccountsOfOneName()
   {
     CPPUNIT_ASSERT(
         Contains(BuildError({Spec("a", {"k"}), Spec("a", {"l"})}), "another account has"));
--- a/Source/UnitTests/Accounts/KeyFreshnessTest.cpp
+++ b/Source/UnitTests/Accounts/KeyFreshnessTest.cpp
@@ -31,42 +31,42 @@
 
   void WithoutAProofNoKeyIsAccepted()
   {
-    KeyFreshness trust;
-    trust.Configure(LIMIT);
-    CPPUNIT_ASSERT(!trust.IsFresh(BEGIN));
-    CPPUNIT_ASSERT(!trust.Age(BEGIN));
+    KeyFreshness freshness;
+    freshness.Configure(LIMIT);
+    CPPUNIT_ASSERT(!freshness.IsFresh(BEGIN));
+    CPPUNIT_ASSERT(!freshness.Age(BEGIN));
   }
 
   void AProofEndsBeforeTheBound()
   {
-    KeyFreshness trust;
-    trust.Configure(LIMIT);
-    trust.Prove(BEGIN);
-    CPPUNIT_ASSERT(trust.IsFresh(BEGIN + Milliseconds(4700)));
-    CPPUNIT_ASSERT(!trust.IsFresh(BEGIN + Milliseconds(4900)));
-    CPPUNIT_ASSERT(trust.Age(BEGIN + Milliseconds(4900)) == Milliseconds(4900));
+    KeyFreshness freshness;
+    freshness.Configure(LIMIT);
+    freshness.RecordProof(BEGIN);
+    CPPUNIT_ASSERT(freshness.IsFresh(BEGIN + Milliseconds(4700)));
+    CPPUNIT_ASSERT(!freshness.IsFresh(BEGIN + Milliseconds(4900)));
+    CPPUNIT_ASSERT(freshness.Age(BEGIN + Milliseconds(4900)) == Milliseconds(4900));
   }
 
   /// The holder's proof may be older than one that this daemon got from its own call.
   void OlderProofDoesNotReplaceANewerOne()
   {
-    KeyFreshness trust;
-    trust.Configure(LIMIT);
-    trust.Prove(BEGIN);
-    trust.Prove(BEGIN - Milliseconds(3000));
-    CPPUNIT_ASSERT(trust.IsFresh(BEGIN + Milliseconds(4700)));
+    KeyFreshness freshness;
+    freshness.Configure(LIMIT);
+    freshness.RecordProof(BEGIN);
+    freshness.RecordProof(BEGIN - Milliseconds(3000));
+    CPPUNIT_ASSERT(freshness.IsFresh(BEGIN + Milliseconds(4700)));
   }
 
   /// A response proves only the time at which its call was sent, so that the proof is two waits old
   /// when the next response is due.
   void TwoWaitingCallsKeepTheProof()
   {
-    KeyFreshness trust;
-    trust.Configure(LIMIT);
-    trust.Prove(BEGIN);
-    const auto wait = trust.MaxWait(Milliseconds(2500));
+    KeyFreshness freshness;
+    freshness.Configure(LIMIT);
+    freshness.RecordProof(BEGIN);
+    const auto wait = freshness.MaxWait(Milliseconds(2500));
     CPPUNIT_ASSERT(wait < Milliseconds(2500));
-    CPPUNIT_ASSERT(trust.IsFresh(BEGIN + 2 * wait + Milliseconds(500)));
+    CPPUNIT_ASSERT(freshness.IsFresh(BEGIN + 2 * wait + Milliseconds(500)));
   }
 };
 CPPUNIT_TEST_SUITE_REGISTRATION(KeyFreshnessTest);
--- a/Source/UnitTests/Common/SuspendedVmTest.cpp
+++ b/Source/UnitTests/Common/SuspendedVmTest.cpp
@@ -62,7 +62,7 @@
   {
     Accounts::KeyFreshness keys;
     keys.Configure(SUSPENDED);
-    keys.Prove(Common::Now());
+    keys.RecordProof(Common::Now());
     bool fired = false;
     Common::OwnedTimer timer;
     timer.Start(Milliseconds(2000), [&] {
--- a/Source/UnitTests/Gateway/CallerKeysTest.cpp
+++ b/Source/UnitTests/Gateway/CallerKeysTest.cpp
@@ -258,7 +258,7 @@
     TestServer server = Echo();
     world.AddServer("i-1", server.Address());
     const auto begin = Common::Now();
-    world.dispatcher.Keys().Prove(begin - KEY_LIMIT);
+    world.dispatcher.Keys().RecordProof(begin - KEY_LIMIT);
     world.Ask(PLAIN_PATH, "id-1", "Api-Key: secret-1\r\n");
     CPPUNIT_ASSERT(world.CallerGot("503 "));
     CPPUNIT_ASSERT(Common::Now() - begin < Milliseconds(50));
@@ -272,7 +272,7 @@
   {
     KeysWorld world;
     world.SetKeyLimit(KEY_LIMIT);
-    world.dispatcher.Keys().Prove(Common::Now());
+    world.dispatcher.Keys().RecordProof(Common::Now());
     TestServer server = Echo();
     world.Ask(ONCE_PATH, "id-1", "Api-Key: secret-1\r\n");
     RunFor(KEY_LIMIT);
@@ -290,7 +290,7 @@
     world.AddServer("i-1", server.Address());
     world.Ask(PLAIN_PATH, "id-1", "Api-Key: secret-1\r\n");
     CPPUNIT_ASSERT(world.CallerGot("503 "));
-    world.dispatcher.Keys().Prove(Common::Now());
+    world.dispatcher.Keys().RecordProof(Common::Now());
     world.Ask(PLAIN_PATH, "id-2", "Api-Key: secret-1\r\n");
     CPPUNIT_ASSERT(world.CallerGot("200 OK"));
   }
--- a/Source/UnitTests/Orders/HubTest.cpp
+++ b/Source/UnitTests/Orders/HubTest.cpp
@@ -48,13 +48,13 @@
     table.changes_since = [this](std::int64_t) {
       return changes;
     };
-    table.answer_age = [] {
+    table.response_age = [] {
       return Milliseconds(0);
     };
     table.proven_at = [this] {
       return proven_at;
     };
-    table.take_proof = [this](Common::TimePoint moment) {
+    table.apply_relayed_proof = [this](Common::TimePoint moment) {
       proven_at = std::max(proven_at.value_or(moment), moment);
     };
     table.apply_relayed = [this](std::int64_t from, std::int64_t to, const auto&) {
@@ -124,7 +124,7 @@
   {
     Daemon holder("a");
     Daemon other("b");
-    Begin(holder, other);
+    AssignHolder(holder, other);
     const auto proven = Common::Now() - Milliseconds(700);
     holder.proven_at = proven;
     CPPUNIT_ASSERT(RunUntil([&] {
@@ -145,7 +145,7 @@
   {
     Daemon holder("a");
     Daemon other("b");
-    Begin(holder, other);
+    AssignHolder(holder, other);
     CPPUNIT_ASSERT(RunUntil([&] {
       return other.relayed;
     }));
@@ -214,7 +214,7 @@
       settings.usage_bound = {Milliseconds(8000), 0.1, 17000};
       daemon->dispatcher.Configure(settings);
     }
-    Begin(holder, other);
+    AssignHolder(holder, other);
     RunFor(Milliseconds(2500));
     CPPUNIT_ASSERT(GetsUnits(other, 15000));
   }
@@ -264,7 +264,7 @@
     Daemon holder("a");
     Daemon first("b");
     Daemon second("c");
-    Begin(holder, first);
+    AssignHolder(holder, first);
     second.hub.SetHolder(holder.endpoint, std::nullopt);
     CrashServer(first, 0);
     CrashServer(second, 1);
@@ -296,7 +296,7 @@
     }));
   }
 
-  static void Begin(Daemon& holder, Daemon& other)
+  static void AssignHolder(Daemon& holder, Daemon& other)
   {
     holder.hub.SetHolder(std::nullopt, LeaseAnnouncement{1, 1, Milliseconds(3000)});
     other.hub.SetHolder(holder.endpoint, std::nullopt);
@@ -313,7 +313,7 @@
     Daemon other("b");
     holder.AddServers(SERVERS, true);
     other.AddServers(SERVERS, false);
-    Begin(holder, other);
+    AssignHolder(holder, other);
     CPPUNIT_ASSERT(RunUntil([&] {
       return other.hub.HasHolderContact();
     }));
@@ -338,7 +338,7 @@
   {
     Daemon holder("a");
     Daemon other("b");
-    Begin(holder, other);
+    AssignHolder(holder, other);
     CPPUNIT_ASSERT(RunUntil([&] {
       return other.relayed;
     }));
@@ -367,7 +367,7 @@
       other.dispatcher.Servers().Find(InstanceOf(server))->NoteStart(AdapterOf(server, 0), now);
     const auto busiest = other.dispatcher.Servers().Find(InstanceOf(SERVERS - 1));
     busiest->NoteStart(AdapterOf(SERVERS - 1, 0), now);
-    Begin(holder, other);
+    AssignHolder(holder, other);
     CPPUNIT_ASSERT(RunUntil([&] {
       return holder.hub.Daemons() == 2;
     }));
--- a/Source/UnitTests/Orders/LeaseManagerTest.cpp
+++ b/Source/UnitTests/Orders/LeaseManagerTest.cpp
@@ -39,7 +39,7 @@
     }
     record = next;
     ++version;
-    if (lose_answers)
+    if (lose_responses)
       Later([done] {
         done(Common::Failure{Common::FailureKind::OutcomeUnknown, "lost"});
       });
@@ -51,7 +51,7 @@
 
   void Later(std::function<void()> callback)
   {
-    if (hold_answers)
+    if (hold_responses)
       held.push_back(std::move(callback));
     else
       m_soon.Call(std::move(callback));
@@ -60,8 +60,8 @@
   LeaseRecord record;
   std::int64_t version = 0;
   bool down = false;
-  bool lose_answers = false;
-  bool hold_answers = false; ///< Responses are queued in `held`.
+  bool lose_responses = false;
+  bool hold_responses = false; ///< Responses are queued in `held`.
   std::vector<std::function<void()>> held;
   int calls = 0;
 
@@ -94,8 +94,8 @@
   CPPUNIT_TEST(OnlyOneOfTwoContendersHoldsTheLease);
   CPPUNIT_TEST(HolderStopsBeforeItsLeaseExpires);
   CPPUNIT_TEST(NextHolderWaitsForExpiryAndPause);
-  CPPUNIT_TEST(LostAnswerDoesNotAcquireTheLease);
-  CPPUNIT_TEST(PauseIsObservedAfterALostAnswer);
+  CPPUNIT_TEST(LostResponseDoesNotAcquireTheLease);
+  CPPUNIT_TEST(PauseIsObservedAfterALostResponse);
   CPPUNIT_TEST(ReleasedLeaseIsAcquiredAtOnceButOrdersWait);
   CPPUNIT_TEST(ReleaseIsWrittenAfterAPendingRenewal);
   CPPUNIT_TEST(AnnouncementShortensTheWaitNoFurtherThanTheRemainingTime);
@@ -187,10 +187,10 @@
     CPPUNIT_ASSERT(Common::Now() - held >= Milliseconds(250));
   }
 
-  void LostAnswerDoesNotAcquireTheLease()
+  void LostResponseDoesNotAcquireTheLease()
   {
     FakeStore store;
-    store.lose_answers = true;
+    store.lose_responses = true;
     Manager manager(store, Settings("a"));
     manager.OnRow(0, std::nullopt);
     manager.Start();
@@ -199,21 +199,21 @@
     }));
     RunFor(Milliseconds(100));
     CPPUNIT_ASSERT(!Holds(manager));
-    store.lose_answers = false;
+    store.lose_responses = false;
     manager.OnRow(store.version, store.record);
     CPPUNIT_ASSERT(RunUntil([&] {
       return Holds(manager);
     }));
   }
 
-  void PauseIsObservedAfterALostAnswer()
+  void PauseIsObservedAfterALostResponse()
   {
     // The previous holder has just released the lease. The write takes effect, but its response is
     // lost.
     FakeStore store;
     store.version = 5;
     store.record = {};
-    store.lose_answers = true;
+    store.lose_responses = true;
     Manager manager(store, Settings("a"));
     manager.OnRow(5, store.record);
     manager.Start();
@@ -221,7 +221,7 @@
       return store.version == 6;
     }));
     RunFor(Milliseconds(20));
-    store.lose_answers = false;
+    store.lose_responses = false;
     manager.OnRow(store.version, store.record);
     CPPUNIT_ASSERT(RunUntil([&] {
       return Holds(manager);
@@ -266,13 +266,13 @@
     CPPUNIT_ASSERT(RunUntil([&] {
       return Holds(manager);
     }));
-    store.hold_answers = true;
+    store.hold_responses = true;
     CPPUNIT_ASSERT(RunUntil([&] {
       return store.held.size() == 1;
     }));
     manager.Release();
     CPPUNIT_ASSERT(!Holds(manager));
-    store.hold_answers = false;
+    store.hold_responses = false;
     store.held.front()();
     CPPUNIT_ASSERT(RunUntil([&] {
       return store.record.holder.Empty();
--- a/Source/UnitTests/Orders/OrderManagerTest.cpp
+++ b/Source/UnitTests/Orders/OrderManagerTest.cpp
@@ -14,7 +14,7 @@
 using Common::Milliseconds;
 using UnitTests::RunFor;
 using UnitTests::RunUntil;
-using Answer = Common::Result<OrderAnswer>;
+using OrderOutcome = Common::Result<OrderResult>;
 
 constexpr double MODEL_MB = 70;
 constexpr double SERVER_MB = 150;
@@ -30,14 +30,14 @@
       : order_manager(servers,
                       {[this](const OrderCall& call, auto done) {
                          calls.push_back(call);
-                         Later([done, answer = next_answer] {
-                           done(answer);
+                         Later([done, result = next_result] {
+                           done(result);
                          });
                        },
                        [this](const InstanceId&, const Http::Endpoint&, auto done) {
                          ++reports;
-                         Later([done, answer = report] {
-                           done(answer);
+                         Later([done, result = report] {
+                           done(result);
                          });
                        },
                        [this] {
@@ -108,7 +108,7 @@
   int reports = 0;
   int cancelled = 0;
   Common::TimePoint permitted_until = Common::Now() + std::chrono::hours(1);
-  Answer next_answer{OrderAnswer::Accepted};
+  OrderOutcome next_result{OrderResult::Accepted};
   Common::Result<ServerReport> report{ServerReport{4, false, {}, {}}};
   std::optional<std::int64_t> fence = 9;
   OrderManager order_manager;
@@ -127,7 +127,7 @@
   CPPUNIT_TEST(NoOrdersWithoutTheLease);
   CPPUNIT_TEST(OrdersCarryTheEndOfThePermission);
   CPPUNIT_TEST(BusyServerGetsNoOrders);
-  CPPUNIT_TEST(RefusedOrderIsReplannedAfterANewReport);
+  CPPUNIT_TEST(RejectedOrderIsReplannedAfterANewReport);
   CPPUNIT_TEST(UnansweredOrderIsResentWithTheSameSequence);
   CPPUNIT_TEST(UnansweredOrderThatWasAcceptedIsNotResent);
   CPPUNIT_TEST(ModelListedOnlyInTheReportOccupiesMemory);
@@ -162,7 +162,7 @@
   {
     OrderFixture fixture;
     fixture.SetModels({"a"});
-    fixture.next_answer = Common::Failure{Common::FailureKind::Timeout, "lost"};
+    fixture.next_result = Common::Failure{Common::FailureKind::Timeout, "lost"};
     fixture.Demand("c");
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
       return fixture.calls.size() == 1;
@@ -310,10 +310,10 @@
     CPPUNIT_ASSERT(fixture.calls.empty());
   }
 
-  void RefusedOrderIsReplannedAfterANewReport()
+  void RejectedOrderIsReplannedAfterANewReport()
   {
     OrderFixture fixture;
-    fixture.next_answer = OrderAnswer::Busy;
+    fixture.next_result = OrderResult::Busy;
     fixture.Demand("c");
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
       return fixture.calls.size() == 1;
@@ -321,7 +321,7 @@
     RunFor(Milliseconds(20));
     const int reports = fixture.reports;
     fixture.report = ServerReport{7, false, {}, {}};
-    fixture.next_answer = OrderAnswer::Accepted;
+    fixture.next_result = OrderResult::Accepted;
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
       fixture.Demand("c");
       return fixture.calls.size() == 2;
@@ -333,7 +333,7 @@
   void UnansweredOrderIsResentWithTheSameSequence()
   {
     OrderFixture fixture;
-    fixture.next_answer = Common::Failure{Common::FailureKind::Timeout, "lost"};
+    fixture.next_result = Common::Failure{Common::FailureKind::Timeout, "lost"};
     fixture.Demand("c");
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
       return fixture.calls.size() == 2;
@@ -345,7 +345,7 @@
   void UnansweredOrderThatWasAcceptedIsNotResent()
   {
     OrderFixture fixture;
-    fixture.next_answer = Common::Failure{Common::FailureKind::Timeout, "lost"};
+    fixture.next_result = Common::Failure{Common::FailureKind::Timeout, "lost"};
     fixture.Demand("c");
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
       return fixture.calls.size() == 1;
@@ -402,7 +402,7 @@
     RunFor(Milliseconds(20));
     fixture.SetModels({victim == "a" ? "b" : "a", "c"});
     // The unloaded model is requested again and must be loaded, since no server holds it.
-    fixture.next_answer = OrderAnswer::AlreadyInState;
+    fixture.next_result = OrderResult::AlreadyInState;
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
       fixture.Demand(victim.c_str());
       return !fixture.calls.empty() &&
@@ -416,7 +416,7 @@
     OrderFixture fixture;
     fixture.report = ServerReport{
         4, false, {{ModelId("a"), {AdapterId("a1"), AdapterId("a2")}}, {ModelId("b"), {}}}, {}};
-    fixture.next_answer = OrderAnswer::Busy;
+    fixture.next_result = OrderResult::Busy;
     fixture.Demand("a", "a3");
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
       return fixture.calls.size() == 1;
@@ -429,7 +429,7 @@
     });
     for (const OrderCall& call : fixture.calls)
       CPPUNIT_ASSERT(call.operation == OrderCall::Operation::Unload);
-    fixture.next_answer = OrderAnswer::AlreadyInState;
+    fixture.next_result = OrderResult::AlreadyInState;
     CPPUNIT_ASSERT(fixture.PlanUntil([&] {
       fixture.Demand("a", "a3");
       return fixture.calls.back().operation == OrderCall::Operation::Load;
--- a/Source/UnitTests/Orders/ServerRestartOrdersTest.cpp
+++ b/Source/UnitTests/Orders/ServerRestartOrdersTest.cpp
@@ -29,14 +29,14 @@
       : order_manager(servers,
                       {[this](const OrderCall& call, auto done) {
                          calls.push_back(call);
-                         m_soon.Call([done, answer = next_answer] {
-                           done(answer);
+                         m_soon.Call([done, result = next_result] {
+                           done(result);
                          });
                        },
                        [this](const InstanceId&, const Http::Endpoint&, auto done) {
                          ++reports;
-                         m_soon.Call([done, answer = PlatformAdapter::DecodeReport(report)] {
-                           done(answer);
+                         m_soon.Call([done, result = PlatformAdapter::DecodeReport(report)] {
+                           done(result);
                          });
                        },
                        [] {}},
@@ -113,7 +113,7 @@
   std::vector<OrderCall> calls;
   int reports = 0;
   std::string report;
-  Common::Result<OrderAnswer> next_answer{OrderAnswer::Accepted};
+  Common::Result<OrderResult> next_result{OrderResult::Accepted};
   OrderManager order_manager;
 
 private:
@@ -205,11 +205,11 @@
     RestartFixture fixture;
     fixture.SetEntry(1000);
     fixture.SetReport(1000, 1);
-    fixture.next_answer = Common::Failure{Common::FailureKind::Timeout, "no answer"};
+    fixture.next_result = Common::Failure{Common::FailureKind::Timeout, "no answer"};
     fixture.Demand({"a"});
     CPPUNIT_ASSERT(fixture.PlanUntilOrders(1));
     RunFor(Milliseconds(20));
-    fixture.next_answer = OrderAnswer::Accepted;
+    fixture.next_result = OrderResult::Accepted;
     fixture.SetEntry(2000, R"({"name":"b","version":1,"adapters":[]})");
     fixture.SetReport(2000, 1);
     fixture.Demand({"c"});
@@ -227,16 +227,16 @@
     RestartFixture fixture;
     fixture.SetEntry(1000);
     fixture.SetReport(1000, 1);
-    fixture.next_answer = Common::Failure{Common::FailureKind::Timeout, "no answer"};
+    fixture.next_result = Common::Failure{Common::FailureKind::Timeout, "no answer"};
     fixture.Demand({"a"});
     CPPUNIT_ASSERT(fixture.PlanUntilOrders(1));
     RunFor(Milliseconds(20));
     // The order is sent again with the server's current sequence and is rejected.
     fixture.SetReport(1000, 3);
-    fixture.next_answer = OrderAnswer::Busy;
+    fixture.next_result = OrderResult::Busy;
     CPPUNIT_ASSERT(fixture.PlanUntilOrders(2));
     RunFor(Milliseconds(20));
-    fixture.next_answer = OrderAnswer::Accepted;
+    fixture.next_result = OrderResult::Accepted;
     fixture.SetEntry(2000, R"({"name":"b","version":1,"adapters":[]})");
     fixture.SetReport(2000, 1);
     fixture.Demand({"c"});
--- a/Source/UnitTests/Orders/TableFollowerTest.cpp
+++ b/Source/UnitTests/Orders/TableFollowerTest.cpp
@@ -106,7 +106,7 @@
   CPPUNIT_TEST(ReportsLossAndReturnOfTheSource);
   CPPUNIT_TEST(LostSourceIsCalledWithoutWait);
   CPPUNIT_TEST(MakesNoCallsWhileRelayed);
-  CPPUNIT_TEST(RefusesRelayedChangesWithAGap);
+  CPPUNIT_TEST(RejectsRelayedChangesWithAGap);
   CPPUNIT_TEST(DuplicateChangeIsAppliedOnce);
   CPPUNIT_TEST(RelaysChangesInTheLog);
   CPPUNIT_TEST(AVersionWithoutChangesIsNoGap);
@@ -282,7 +282,7 @@
     }));
   }
 
-  void RefusesRelayedChangesWithAGap()
+  void RejectsRelayedChangesWithAGap()
   {
     FakeSource source;
     source.version = 5;
--- a/Source/UnitTests/Orders/UpdateWriterTest.cpp
+++ b/Source/UnitTests/Orders/UpdateWriterTest.cpp
@@ -30,7 +30,7 @@
   table.version = [last = rows.back().version] {
     return last;
   };
-  table.answer_age = [] {
+  table.response_age = [] {
     return Common::Milliseconds(0);
   };
   table.proven_at = [] {
