--- a/Source/Core/Orders/TableFollower.h
+++ b/Source/Core/Orders/TableFollower.h
@@ -49,8 +49,8 @@
 {
   std::function<void(const std::vector<TableRow>&)> on_snapshot;
   std::function<void(const TableRow&)> on_change;
-  std::function<void()> on_lost; ///< The source stopped answering.
-  std::function<void()> on_back;
+  std::function<void()> on_lost; ///< The source stopped responding.
+  std::function<void()> on_back; ///< The source responds again.
   /// The copy, with all changes reported so far, was the newest version at this time.
   std::function<void(Common::TimePoint)> on_proven = {};
 };
@@ -77,29 +77,30 @@
 
   std::int64_t Version() const { return m_have_snapshot ? m_version : 0; }
   bool HasSnapshot() const { return m_have_snapshot; }
-  /// Time since the source's last answer.
-  Common::Milliseconds AnswerAge(Common::TimePoint now) const
+  /// Time since the source's last response.
+  Common::Milliseconds ResponseAge(Common::TimePoint now) const
   {
-    return std::chrono::ceil<Common::Milliseconds>(now - m_answered_at);
+    return std::chrono::ceil<Common::Milliseconds>(now - m_last_response_at);
   }
 
-  /// When this copy was last confirmed to be the newest version. This is the time at which a call
-  /// was sent that the source answered, to this daemon or to the daemon that relays the table.
+  /// When this copy was last confirmed to be the newest version: the time at which this daemon, or
+  /// the daemon that relays the table, sent the call whose response confirmed it.
   std::optional<Common::TimePoint> ProvenAt() const { return m_proven_at; }
 
   /// The daemon that relays the table confirmed that a copy equal to this one was the newest
   /// version.
-  void TakeProof(Common::TimePoint moment)
+  void ApplyRelayedProof(Common::TimePoint moment)
   {
     if (m_have_snapshot)
-      Prove(moment);
+      RecordProof(moment);
   }
 
   /// Sets how long the source may hold a call that waits for changes. The daemon that relays its
   /// copy to others uses a shorter wait, so that the copy is never out of date.
   void SetWait(Common::Milliseconds wait) { m_wait = wait; }
-  /// Sets how long to wait after an answer with changes before the next call. Each call is priced,
-  /// and with many backend servers the source would answer every call at once with a single change.
+  /// Sets how long to wait after a response with changes before the next call. Each call is billed,
+  /// and with many backend servers the source would respond to every call at once with a single
+  /// change.
   void SetBatchDelay(Common::Milliseconds span) { m_batch_delay = span; }
 
   /// No calls are made while the table is relayed. `reason` is logged when relaying ends.
@@ -128,17 +129,17 @@
     const auto is_new = [before = m_version](const RowChange& change) {
       return change.version > before;
     };
-    std::vector<RowChange> fresh;
-    std::ranges::copy_if(changes, std::back_inserter(fresh), is_new);
-    const auto rows = m_rows.UnpackAll(fresh);
+    std::vector<RowChange> new_changes;
+    std::ranges::copy_if(changes, std::back_inserter(new_changes), is_new);
+    const auto rows = m_rows.UnpackAll(new_changes);
     if (!rows)
     {
       Common::LogEvent(Common::LogLevel::Warning, "relayed-rows-refused",
                        {{"table", m_table}, {"version", to}, {"reason", rows.Reason().detail}});
       return false;
     }
-    for (std::size_t i = 0; i < fresh.size(); ++i)
-      Take((*rows)[i], std::move(fresh[i]));
+    for (std::size_t i = 0; i < new_changes.size(); ++i)
+      ApplyChange((*rows)[i], std::move(new_changes[i]));
     m_version = std::max(m_version, to);
     return true;
   }
@@ -158,11 +159,11 @@
 private:
   /// Maximum number of changes that are kept for other daemons.
   static constexpr std::size_t MAX_LOG_ROWS = 512;
-  /// Pause after the first failed call. It doubles up to about 1 s: refused calls are priced, and a
-  /// daemon's view has to be current within 3 s after an outage.
+  /// Pause after the first failed call. It doubles up to about 1 s: rejected calls are billed, and
+  /// a daemon's copy has to be current within 3 s after an outage.
   static constexpr Common::Milliseconds FIRST_PAUSE{60};
   static constexpr int MAX_PAUSE_DOUBLINGS = 4;
-  /// Short enough that a call which the source has lost is repeated within the time allowed for
+  /// Short enough that a call which the source has lost is retried within the time allowed for
   /// applying a configuration after an outage.
   static constexpr Common::Milliseconds DEFAULT_WAIT{2500};
 
@@ -170,21 +171,21 @@
   {
     m_calling = true;
     if (first_key.empty())
-      m_snapshot_asked_at = Common::Now();
+      m_snapshot_requested_at = Common::Now();
     m_source.Read(m_table, first_key, [this, first_key](Common::Result<TableRows> page) {
       m_calling = false;
-      TakePage(first_key, std::move(page));
+      OnPage(first_key, std::move(page));
     });
   }
 
-  void TakePage(const std::string& first_key, Common::Result<TableRows> page)
+  void OnPage(const std::string& first_key, Common::Result<TableRows> page)
   {
     if (!page)
     {
       OnFailure(page.Reason());
       return;
     }
-    OnAnswer();
+    OnResponse();
     if (!m_snapshot_version)
       m_snapshot_version = page->version;
     // A page starts with the last key of the previous page, which is already in the snapshot.
@@ -205,8 +206,8 @@
     for (const TableRow& row : rows)
       m_rows.Put(row);
     m_events.on_snapshot(rows);
-    Prove(m_snapshot_asked_at);
-    Continue();
+    RecordProof(m_snapshot_requested_at);
+    FollowUnlessRelayed();
   }
 
   /// The first key of the next page. Pages start at the last known key, whose row is skipped. If
@@ -218,10 +219,10 @@
     return last_key == first_key ? last_key + '\x01' : last_key;
   }
 
-  void Continue()
+  void FollowUnlessRelayed()
   {
-    // A lost source is called without a wait, so that its first answer shows at once that it is
-    // back.
+    // A source that stopped responding is called without a wait, so that its first response shows
+    // at once that it is back.
     if (!m_relayed)
       Follow(m_lost ? Common::Milliseconds(0) : m_wait);
   }
@@ -229,14 +230,15 @@
   void Follow(Common::Milliseconds wait)
   {
     m_calling = true;
-    const auto asked_at = Common::Now();
-    m_source.Follow(m_table, m_version, wait, [this, asked_at](Common::Result<TableRows> changes) {
-      m_calling = false;
-      TakeChanges(std::move(changes), asked_at);
-    });
+    const auto requested_at = Common::Now();
+    m_source.Follow(m_table, m_version, wait,
+                    [this, requested_at](Common::Result<TableRows> changes) {
+                      m_calling = false;
+                      OnChanges(std::move(changes), requested_at);
+                    });
   }
 
-  void TakeChanges(Common::Result<TableRows> changes, Common::TimePoint asked_at)
+  void OnChanges(Common::Result<TableRows> changes, Common::TimePoint requested_at)
   {
     if (!changes)
     {
@@ -245,18 +247,18 @@
       OnFailure(changes.Reason());
       return;
     }
-    OnAnswer();
+    OnResponse();
     const bool had_changes = !changes->rows.empty();
     Apply(changes->rows, changes->version);
     if (!changes->more)
-      Prove(asked_at);
+      RecordProof(requested_at);
     if (!had_changes || m_batch_delay <= Common::Milliseconds(0))
     {
-      Continue();
+      FollowUnlessRelayed();
       return;
     }
     m_retry_timer.Start(m_batch_delay, [this] {
-      Continue();
+      FollowUnlessRelayed();
     });
   }
 
@@ -265,11 +267,11 @@
     const std::int64_t before = m_version;
     for (const TableRow& row : rows)
       if (row.version > before)
-        Take(row, m_rows.Pack(row));
+        ApplyChange(row, m_rows.Pack(row));
     m_version = std::max(m_version, to);
   }
 
-  void Take(const TableRow& row, RowChange change)
+  void ApplyChange(const TableRow& row, RowChange change)
   {
     m_rows.Put(row);
     m_log.push_back(std::move(change));
@@ -281,16 +283,16 @@
     m_events.on_change(row);
   }
 
-  void Prove(Common::TimePoint moment)
+  void RecordProof(Common::TimePoint moment)
   {
     m_proven_at = std::max(m_proven_at.value_or(moment), moment);
     if (m_events.on_proven)
       m_events.on_proven(*m_proven_at);
   }
 
-  void OnAnswer()
+  void OnResponse()
   {
-    m_answered_at = Common::Now();
+    m_last_response_at = Common::Now();
     m_failures = 0;
     if (!std::exchange(m_lost, false))
       return;
@@ -322,7 +324,7 @@
       if (!m_have_snapshot)
         Start();
       else
-        Continue();
+        FollowUnlessRelayed();
     });
   }
 
@@ -340,8 +342,8 @@
   bool m_calling = false;
   bool m_lost = false;
   int m_failures = 0;
-  Common::TimePoint m_answered_at;
-  Common::TimePoint m_snapshot_asked_at; ///< When its first page was requested.
+  Common::TimePoint m_last_response_at;
+  Common::TimePoint m_snapshot_requested_at; ///< When its first page was requested.
   std::optional<Common::TimePoint> m_proven_at;
   KnownRows m_rows;
   std::deque<RowChange> m_log; ///< Changes after `m_log_floor`, oldest first.
