--- a/Source/Core/BackendServers/HttpBackendClient.h
+++ b/Source/Core/BackendServers/HttpBackendClient.h
@@ -16,7 +16,7 @@
 Common::Result<BackendReport> ParseReport(std::string_view text);
 
 /// Client of backend servers over HTTP: JSON orders and reports, and chat completions in the
-/// OpenAI-compatible format.
+/// format of the chat completions API.
 class HttpBackendClient
 {
 public:
--- a/Source/Core/Callers/ChatApi.h
+++ b/Source/Core/Callers/ChatApi.h
@@ -13,7 +13,7 @@
 Common::Result<ChatRequest> ParseChat(ApiContext& api_context, CallContext context,
                                       const std::string& body, bool* stream);
 
-/// POST /v1/chat/completions and GET /v1/models in the OpenAI-compatible format.
+/// POST /v1/chat/completions and GET /v1/models in the format of the chat completions API.
 class ChatApi
 {
 public:
--- a/Source/Core/Common/Failure.h
+++ b/Source/Core/Common/Failure.h
@@ -18,8 +18,8 @@
   NotFound,           ///< The named object does not exist.
   Conflict,           ///< A compare-and-set failed, or the state forbids the operation.
   NotSent,            ///< Nothing reached the peer; a retry elsewhere is safe.
-  Refused,            ///< The peer declined the operation without running it.
-  Overloaded,         ///< Declined due to lack of capacity; a later retry may succeed.
+  Refused,            ///< The peer rejected the operation without running it.
+  Overloaded,         ///< Rejected for lack of capacity; a later retry may succeed.
   DeadlineUnmeetable, ///< The work cannot be finished before its deadline.
   Timeout,            ///< No response in time; the peer may have run it.
   OutcomeUnknown,     ///< The exchange failed after the first byte was sent.
--- a/Source/Core/Common/FieldReader.cpp
+++ b/Source/Core/Common/FieldReader.cpp
@@ -18,7 +18,7 @@
   const Json* field = Find(path);
   if (field != nullptr && field->is_string() && !field->get<std::string>().empty())
     return field->get<std::string>();
-  AddError(path, "a text");
+  AddError(path, "a string");
   return "";
 }
 
--- a/Source/Core/Common/Reactor.cpp
+++ b/Source/Core/Common/Reactor.cpp
@@ -126,7 +126,7 @@
 void Reactor::Dispatch()
 {
   // A timer that becomes due while the descriptors are handled runs in the next iteration, after
-  // the descriptors: the data whose timeout it is may have arrived in the meantime.
+  // the descriptors: the data that the timer is a timeout for may have arrived.
   const TimePoint begin = Now();
   RunDescriptors();
   RunTimers(begin);
--- a/Source/Core/Daemon/Settings.cpp
+++ b/Source/Core/Daemon/Settings.cpp
@@ -42,7 +42,7 @@
     {"dead-after-ms", "1500", "time without heartbeats after which a daemon loses its roles"},
     {"list-lag-ms", "30000", "maximum delay of the platform's VM list"},
     {"table-poll-ms", "1000", "interval of polling for a new table revision"},
-    {"report-ms", "300", "interval of the engines' reports"},
+    {"report-ms", "300", "interval of polling the backend servers' reports"},
     {"order-settle-ms", "20000", "quarantine time of an order of unknown outcome"},
     {"freeze-limit-ms", "1000", "pause after which a claim is validated again"},
     {"job-scan-ms", "2000", "interval of scanning for jobs that no daemon runs"},
--- a/Source/Core/Daemons/Link.cpp
+++ b/Source/Core/Daemons/Link.cpp
@@ -205,9 +205,9 @@
     }
   }
 
-  /// A frozen or partitioned peer does not close its connections. Closes them here once its
-  /// heartbeats stop, so that pending calls fail and can go to the daemon that takes over its
-  /// roles.
+  /// A peer that is suspended or cut off by a network partition does not close its connections.
+  /// Closes them here once its heartbeats stop, so that pending calls fail and can go to the daemon
+  /// that takes over its roles.
   void CloseConnectionsToDeadPeers()
   {
     const auto now = Common::Now();
--- a/Source/Core/Daemons/Membership.cpp
+++ b/Source/Core/Daemons/Membership.cpp
@@ -10,7 +10,8 @@
 {
 namespace
 {
-/// Number of missed heartbeats, by the interval that the peer announced, after which it is dead.
+/// A peer is dead after this many heartbeat intervals without a heartbeat, each as long as the peer
+/// announced.
 constexpr std::int64_t MAX_MISSED_HEARTBEATS = 4;
 } // namespace
 
--- a/Source/Core/Daemons/Membership.h
+++ b/Source/Core/Daemons/Membership.h
@@ -19,7 +19,7 @@
 enum class HolderStatus
 {
   Alive,        ///< Sent a recent heartbeat in this incarnation.
-  Unresponsive, ///< No recent heartbeat; it may be frozen or partitioned and act later.
+  Unresponsive, ///< No recent heartbeat; it may be suspended or cut off, and act later.
   Gone, ///< Its VM left the platform's list or runs another incarnation: it cannot act again.
 };
 
--- a/Source/Core/Daemons/Messages.h
+++ b/Source/Core/Daemons/Messages.h
@@ -98,7 +98,7 @@
 {
   Common::ArtifactId artifact;
   Common::RequestId request;
-  std::int64_t patience_ms = 0; ///< Time until the earliest deadline of the waiting requests.
+  std::int64_t patience_ms = 0; ///< Time until the latest deadline of the waiting requests.
   std::int64_t waiting = 0;
   bool additional_replica = false; ///< Requests another replica: all loaded ones are at capacity.
 
@@ -141,8 +141,8 @@
   }
 };
 
-/// Response of the managing daemon. `holders` names the backend servers where all slots are claimed
-/// already.
+/// Response of the managing daemon. If all replica slots are claimed already, `holders` names the
+/// backend servers that hold them.
 struct PlaceReply
 {
   Common::FailureKind failure = Common::FailureKind::None;
--- a/Source/Core/Serving/Environment.h
+++ b/Source/Core/Serving/Environment.h
@@ -20,9 +20,9 @@
 {
   Common::Milliseconds report_interval{300};
   Common::Milliseconds order_timeout{120000};
-  /// How long an engine that ignores fencing numbers must report the artifact as absent before an
-  /// order of unknown outcome is considered lost. Twice the time after which the kernel drops an
-  /// unacknowledged order (UNACKNOWLEDGED_LIMIT_MS in Http/Client.cpp).
+  /// How long a backend server that ignores fencing numbers must report the artifact as absent
+  /// before an order of unknown outcome is considered lost. Twice the time after which the kernel
+  /// drops an unacknowledged order (UNACKNOWLEDGED_LIMIT_MS in Http/Client.cpp).
   Common::Milliseconds order_settle{20000};
   /// If more time than this passes between claim and order, the claim is validated again.
   Common::Milliseconds freeze_limit{1000};
@@ -58,7 +58,7 @@
 /// rendezvous hashing.
 std::optional<Common::VmId> LoadCoordinatorOf(const Environment& environment,
                                               const Common::ArtifactId& artifact);
-/// Whether the server may get new work: it is ready, not leaving, and its data centre is this one
+/// Whether the server may get new work: it is ready, not draining, and its data centre is this one
 /// or has a live daemon. A data centre without live daemons is considered unreachable.
 bool TakesWork(const Environment& environment, const Common::VmId& server);
 /// Whether requests for the artifact may be sent to the server.
--- a/Source/Core/Serving/Router.h
+++ b/Source/Core/Serving/Router.h
@@ -73,7 +73,7 @@
 
   Common::Task<Route> Acquire(Table::Artifact artifact, RouteRequest request);
 
-  /// A backend server declined a request although its status lists it as serving. It is skipped for
+  /// A backend server rejected a request although its status lists it as serving. It is skipped for
   /// 400 ms.
   void OnServerDeclined(const Common::ArtifactId& artifact, const Common::VmId& server);
   /// Called when replicas of these artifacts have changed in the status registry.
--- a/Source/Core/Serving/ServerController.cpp
+++ b/Source/Core/Serving/ServerController.cpp
@@ -281,8 +281,8 @@
   m_confirmed_fence = fence;
 }
 
-/// Unloads artifacts that the engine holds without a claim. They stem from an order whose claim has
-/// been released since, or were loaded by someone else. The row is read again before the unload.
+/// Unloads artifacts that the server holds without a claim. They stem from an order whose claim has
+/// been released since, or were not loaded by a daemon. The row is read again before the unload.
 Task<void> ServerController::UnloadOrphans()
 {
   std::vector<ArtifactId> orphans;
--- a/Source/Core/Serving/ServerController.h
+++ b/Source/Core/Serving/ServerController.h
@@ -78,7 +78,7 @@
   /// Whether the platform has removed the server's VM and the server no longer reports.
   bool IsGone() const;
   bool IsCached(const Common::ArtifactId& id) const;
-  /// Whether the replica of the claim is not idle according to the engine's last report.
+  /// Whether the replica of the claim is not idle according to the server's last report.
   bool IsInUse(const Common::ClaimId& id) const;
   bool HasUnsettledClaims() const;
   bool IsSurplus(const Claim& claim) const;
@@ -94,7 +94,7 @@
   Common::Incarnation m_fenced_incarnation;
   Common::FencingNumber m_confirmed_fence;
   int m_failed_reports = 0;
-  /// The time since which the engine has continuously reported the artifact as absent.
+  /// The time since which the server has continuously reported the artifact as absent.
   std::map<Common::ArtifactId, Common::TimePoint> m_absent_since;
   std::map<Common::ClaimId, LocalOrder> m_orders;
   /// Claims whose load has succeeded but is not yet recorded in the row.
--- a/Source/Core/Serving/ServerControllerOrders.cpp
+++ b/Source/Core/Serving/ServerControllerOrders.cpp
@@ -56,7 +56,7 @@
     co_return Refuse({FailureKind::NotFound, "the table has no " + order.artifact.Get()});
   for (const ClaimId& id : order.evict)
   {
-    // The decision may be based on an outdated status; the engine's last report is newer.
+    // The decision may be based on an outdated status; the server's last report is newer.
     if (IsInUse(id))
       co_return Refuse({FailureKind::Overloaded, "a replica to evict is in use again"});
     const auto evicted = co_await Unload(id);
@@ -219,7 +219,7 @@
 }
 
 /// Reads the row to check that the claim still belongs to this daemon. After a long pause, such as
-/// a freeze of the VM, another daemon may have taken it over. This only avoids a useless order;
+/// a suspension of the VM, another daemon may have taken it over. This only avoids a useless order;
 /// safety is guaranteed by the claim itself, which remains counted.
 Task<bool> ServerController::IsStillOwned(ClaimId id)
 {
@@ -245,8 +245,8 @@
   for (int attempt = 0; attempt < MAX_ORDER_TRIES; ++attempt)
   {
     co_await Common::Sleep{Milliseconds(0)};
-    // `checked` is initially a time before the claim's commit, so that a freeze during the commit
-    // is noticed as well.
+    // `checked` is initially a time before the claim's commit, so that a suspension during
+    // the commit is detected as well.
     if (Now() - checked > m_environment.timing.freeze_limit)
     {
       const bool held = co_await IsStillOwned(claim.id);
@@ -263,14 +263,14 @@
                                                           m_environment.timing.order_timeout);
     if (done || done.Reason().kind != FailureKind::Refused)
       co_return done;
-    // Definitely not executed: a later order overtook this one, or the engine was restarted.
+    // The order was not executed: a later one reached the server first, or the server restarted.
     const auto fence = co_await RenewFence(claim.id);
     if (!fence)
       co_return Failure{FailureKind::Refused, fence.Reason().detail};
     order.fence = *fence;
     checked = Now();
   }
-  co_return Failure{FailureKind::Refused, "the engine refused the order repeatedly"};
+  co_return Failure{FailureKind::Refused, "the backend server rejected the order repeatedly"};
 }
 
 Task<Result<FencingNumber>> ServerController::RenewFence(ClaimId id)
@@ -340,7 +340,7 @@
 }
 
 /// Marks the claim as unloading first, so that no daemon sends requests to the replica, and then
-/// orders the engine to complete its running requests and unload.
+/// orders the server to complete its running requests and unload.
 Task<Result<Done>> ServerController::Unload(ClaimId id)
 {
   const auto self = shared_from_this();
--- a/Source/Core/Serving/ServerManager.cpp
+++ b/Source/Core/Serving/ServerManager.cpp
@@ -90,7 +90,7 @@
   m_catalog = catalog;
   for (const auto& [vm, server] : catalog->BackendServers())
   {
-    // Servers of plain services have no engine to manage.
+    // Servers of plain services load no artifacts, so no daemon manages them.
     const std::string& pool = server.pool;
     const bool has_models = std::ranges::any_of(catalog->Artifacts(), [&pool](const auto& item) {
       return item.second.pool == pool;
--- a/Source/Core/Serving/ServerStatusRegistry.h
+++ b/Source/Core/Serving/ServerStatusRegistry.h
@@ -47,7 +47,7 @@
                                        Common::TimePoint now);
   const std::map<Common::VmId, Entry>& Entries() const { return m_entries; }
   bool IsLeaving(const Common::VmId& server) const { return m_leaving.contains(server); }
-  /// Whether the server may get new work: it is ready and not leaving.
+  /// Whether the server may get new work: it is ready and not draining.
   bool TakesWork(const Common::VmId& server) const;
   /// Returns the servers with a replica of the artifact in the given state.
   std::vector<Common::VmId> With(const Common::ArtifactId& artifact,
--- a/Source/Core/Serving/TableFollower.cpp
+++ b/Source/Core/Serving/TableFollower.cpp
@@ -279,10 +279,10 @@
 {
   const auto refreshed = co_await Refresh();
   if (!refreshed)
-    co_return Failure{FailureKind::Unavailable, "the platform does not answer"};
+    co_return Failure{FailureKind::Unavailable, "the platform does not respond"};
   const auto earlier = co_await m_store.ReadOne(ChangeKey(change_id));
   if (!earlier)
-    co_return Failure{FailureKind::Unavailable, "the platform does not answer"};
+    co_return Failure{FailureKind::Unavailable, "the platform does not respond"};
   if (earlier->version != 0)
   {
     Table::Change known;
--- a/Source/Core/Table/Catalog.h
+++ b/Source/Core/Table/Catalog.h
@@ -23,7 +23,7 @@
   Common::MegaBytes memory;
   std::int64_t replicas = 0;
   std::int64_t weight = 1;
-  std::int64_t limit = 0; ///< Concurrent requests per replica; 0: the engine's limit.
+  std::int64_t limit = 0; ///< Concurrent requests per replica; 0: the server's limit.
   Common::Milliseconds deadline{0};
   std::string row_key; ///< The table row that a claim requires to be unchanged.
 };
--- a/Source/UnitTests/Platform/DecodeTest.cpp
+++ b/Source/UnitTests/Platform/DecodeTest.cpp
@@ -63,7 +63,7 @@
     CPPUNIT_ASSERT(!settings);
     const std::string& problems = settings.Reason().detail;
     for (const char* expected :
-         {"zone: expected a text, found 7", "listen.front: expected IP:PORT, found \"here\"",
+         {"zone: expected a string, found 7", "listen.front: expected IP:PORT, found \"here\"",
           "platform.address: expected IP:PORT, found nothing",
           "portRange.0: expected port between 1.0 and 65535.0, found 70000",
           "bounds.leaseMs: expected ms between 0.0", "bounds.retryBudgetRatio: expected number",
--- a/Source/UnitTests/Platform/StoreClientTest.cpp
+++ b/Source/UnitTests/Platform/StoreClientTest.cpp
@@ -2,11 +2,11 @@
 // SPDX-License-Identifier: Apache-2.0
 
 // Regression: 63 of 69 VMs used the old configuration for more than 20 s after the store had
-// acknowledged a new one of 4,249 routes. The
-// response with the row, 1,073 KB, takes 0.86 s over a link of 10 Mbit/s, but the timeout of 0.70 s
-// covered the whole response, whose size has no bound. Each slow VM timed out and started over, 14
-// times (`store_calls_follow_timeout`). The row before, 744 KB in 0.60 s, had arrived in time, and
-// the six VMs with 200 Mbit/s received the large row at once.
+// acknowledged a new one of 4,249 routes. The response with the row, 1,073 KB, takes 0.86 s over a
+// link of 10 Mbit/s, but the timeout of 0.70 s covered the complete response, whose size has no
+// bound. Each slow VM timed out and started over, 14 times (`store_calls_follow_timeout`). The
+// previous row, 744 KB in 0.60 s, had arrived in time, and the six VMs with 200 Mbit/s received the
+// large row at once.
 
 #include "platform/StoreClient.h"
 
--- a/Source/UnitTests/Support/LimitedFleet.h
+++ b/Source/UnitTests/Support/LimitedFleet.h
@@ -42,7 +42,7 @@
   /// the first `leeway` after the rejection.
   std::size_t MaxSentDuringBackoff(std::size_t vms, Common::Milliseconds span,
                                    Common::Milliseconds leeway) const;
-  /// When the daemon was first sent a response that announces that the server drains.
+  /// When the daemon was first sent a response that announces that the server is draining.
   std::optional<Common::TimePoint> AnnouncedTo(std::size_t vm, std::size_t vms) const;
   std::size_t Arrivals() const { return m_arrivals.size(); }
   std::size_t ArrivalsSince(Common::TimePoint moment) const;
@@ -55,7 +55,7 @@
     Common::TimePoint at;
     std::size_t number = 0; ///< Of the request; modulo the number of daemons it gives the daemon.
     bool rejected = false;
-    bool announced = false; ///< The response announced that the server drains.
+    bool announced = false; ///< The response announced that the server is draining.
   };
 
   std::string m_limit;
--- a/Source/UnitTests/Support/Loopback.h
+++ b/Source/UnitTests/Support/Loopback.h
@@ -130,7 +130,7 @@
   Http::TcpListener m_listener;
 };
 
-/// Answers every request with the same body, sent at the speed of a 10 Mbit/s link.
+/// Responds to every request with the same body, sent at the speed of a 10 Mbit/s link.
 class ThrottledServer
 {
 public:
--- a/Source/UnitTests/Support/RelayWorld.h
+++ b/Source/UnitTests/Support/RelayWorld.h
@@ -13,7 +13,7 @@
 #include "Gateway/Dispatcher.h"
 #include "UnitTests/Support/Loopback.h"
 
-/// A relay between a caller and backend servers whose every byte the test decides.
+/// A relay between a caller and backend servers. The test scripts every byte that they send.
 namespace UnitTests
 {
 using namespace Gateway;
@@ -113,8 +113,8 @@
     caller.stream = Http::TcpStream::Connect(m_listener.Local(), &caller);
   }
 
-  /// The pool's servers load model "m", from the weight store in `from_store`; requests of the
-  /// route for one stream name their model.
+  /// Makes the pool's servers load model "m", which takes `from_store` from the weight store. The
+  /// routes ONCE_PATH and ONE_STREAM_PATH use the model.
   void ServeModel(Milliseconds from_store)
   {
     auto configuration = std::make_shared<Configuration>(*dispatcher.CurrentConfiguration());
@@ -151,7 +151,7 @@
     caller.stream->Write(bytes + "\r\n" + body);
   }
 
-  /// One more caller, with a connection of its own.
+  /// Returns another caller with its own connection.
   std::unique_ptr<TestPeer> NewCaller() const
   {
     auto peer = std::make_unique<TestPeer>();
