--- a/Source/Core/Callers/ChatRelay.cpp
+++ b/Source/Core/Callers/ChatRelay.cpp
@@ -91,7 +91,7 @@
     call.body = request.body;
     call.request = request.context.request;
     call.timeout = request.context.TimeLeft();
-    auto opened = co_await m_api_context.environment.engine.Forward(std::move(call));
+    auto opened = co_await m_api_context.environment.backend_client.Forward(std::move(call));
 
     FailureKind kind = FailureKind::None;
     RunState run_state = RunState::Unknown;
@@ -133,7 +133,7 @@
         {{"request", request.context.request}, {"server", grant.Server()}, {"reason", detail}});
     // The router avoids this server for a while. A server that rejected the request may soon accept
     // it; one that failed becomes the last resort for this request.
-    m_api_context.router.OnServerDeclined(request.artifact.id, grant.Server());
+    m_api_context.router.OnRequestRejected(request.artifact.id, grant.Server());
     if (kind != FailureKind::Overloaded)
       history->failed.insert(grant.Server());
     if (!MayRetry(request.context, *history))
--- a/Source/Core/Callers/PlainServices.cpp
+++ b/Source/Core/Callers/PlainServices.cpp
@@ -168,7 +168,7 @@
   const auto& environment = m_api_context.environment;
   std::vector<Table::BackendServer> servers;
   for (const auto& [vm, server] : environment.table.Current().BackendServers())
-    if (server.pool == call.service.pool && !environment.server_statuses.IsLeaving(vm))
+    if (server.pool == call.service.pool && !environment.server_statuses.IsDraining(vm))
       servers.push_back(server);
   std::ranges::sort(servers, [&](const auto& left, const auto& right) {
     const bool left_local = left.data_centre == environment.DataCentre();
@@ -193,7 +193,7 @@
   forward.repeatable = call.repeatable;
   if (!call.key.empty())
     forward.headers["Idempotency-Key"] = call.key;
-  auto opened = co_await m_api_context.environment.engine.Forward(std::move(forward));
+  auto opened = co_await m_api_context.environment.backend_client.Forward(std::move(forward));
   if (!opened)
   {
     const bool unsent = opened.Reason().kind == FailureKind::NotSent;
--- a/Source/Core/Daemon/Application.cpp
+++ b/Source/Core/Daemon/Application.cpp
@@ -100,14 +100,14 @@
   explicit Impl(Settings all)
       : settings(std::move(all)),
         platform(settings.platform, settings.vm, PLATFORM_TIMEOUT),
-        engine(settings.vm),
+        backend_client(settings.vm),
         membership(MakeOwnHeartbeat(settings), {settings.dead_after, settings.list_lag}),
         store(platform, settings.vm.Get()),
         link(LinkSettingsOf(settings), membership),
         table(store, link, membership, settings.table_poll_interval),
         policies(PoliciesOf(settings)),
-        environment{store,        engine,   membership,        link, table, server_statuses,
-                    decision_log, policies, TimingOf(settings)},
+        environment{store,        backend_client, membership,        link, table, server_statuses,
+                    decision_log, policies,       TimingOf(settings)},
         server_manager(environment),
         load_permits(environment),
         load_coordinator(environment),
@@ -125,7 +125,7 @@
   Settings settings;
   GMainLoop* loop = g_main_loop_new(nullptr, FALSE);
   Platform::HttpPlatform platform;
-  BackendServers::HttpBackendClient engine;
+  BackendServers::HttpBackendClient backend_client;
   Daemons::Membership membership;
   Platform::Store store;
   Daemons::Link link;
@@ -250,7 +250,7 @@
     if (auto* permit = std::get_if<Daemons::PermitRequest>(&call))
       co_return co_await load_permits.Request(std::move(*permit));
     if (const auto* pull = std::get_if<Daemons::TablePull>(&call))
-      co_return table.Answer(*pull);
+      co_return table.BuildReply(*pull);
     if (const auto* returned = std::get_if<Daemons::PermitReturn>(&call))
     {
       load_permits.Return(returned->claim);
--- a/Source/Core/Operators/OperatorsApi.cpp
+++ b/Source/Core/Operators/OperatorsApi.cpp
@@ -276,7 +276,7 @@
                        {"keeper", entry.status.keeper.Get()},
                        {"kept_here", m_components.server_manager.Manages(vm)},
                        {"ready", entry.status.ready},
-                       {"leaving", server_statuses.IsLeaving(vm)},
+                       {"leaving", server_statuses.IsDraining(vm)},
                        {"capacity_mb", entry.status.capacity.Get()},
                        {"claimed_mb", entry.status.claimed.Get()},
                        {"running", entry.status.running},
--- a/Source/Core/Serving/ClaimLedger.cpp
+++ b/Source/Core/Serving/ClaimLedger.cpp
@@ -33,7 +33,7 @@
 {
 }
 
-Result<Done> ClaimLedger::Adopt(const Platform::StoredRow& stored)
+Result<Done> ClaimLedger::SetRow(const Platform::StoredRow& stored)
 {
   auto row = ParseServerRow(stored.value);
   if (!row)
@@ -54,7 +54,7 @@
   // A slow read must not overwrite the result of a commit that completed in the meantime.
   if (m_known && stored->version < m_version)
     co_return Done{};
-  co_return Adopt(*stored);
+  co_return SetRow(*stored);
 }
 
 Task<Result<CommitOutcome>> ClaimLedger::Update(Edit edit, Common::TimePoint deadline)
@@ -88,12 +88,12 @@
       m_row_received_at = Common::Now();
       co_return *outcome;
     }
-    const auto moved = std::ranges::find(outcome->conflicts, key, &Platform::StoredRow::key);
-    if (moved == outcome->conflicts.end())
+    const auto changed = std::ranges::find(outcome->conflicts, key, &Platform::StoredRow::key);
+    if (changed == outcome->conflicts.end())
       co_return *outcome;
-    const auto adopted = Adopt(*moved);
-    if (!adopted)
-      co_return adopted.Reason();
+    const auto replaced = SetRow(*changed);
+    if (!replaced)
+      co_return replaced.Reason();
   }
   co_return Failure{FailureKind::Conflict,
                     "the row of " + m_server.Get() + " was changed concurrently too often"};
--- a/Source/Core/Serving/ClaimLedger.h
+++ b/Source/Core/Serving/ClaimLedger.h
@@ -44,7 +44,7 @@
                                                                Common::TimePoint deadline);
 
 private:
-  Common::Result<Common::Done> Adopt(const Platform::StoredRow& stored);
+  Common::Result<Common::Done> SetRow(const Platform::StoredRow& stored);
 
   Platform::Store& m_store;
   Common::VmId m_server;
--- a/Source/Core/Serving/Environment.h
+++ b/Source/Core/Serving/Environment.h
@@ -37,7 +37,7 @@
 struct Environment
 {
   Platform::Store& store;
-  BackendServers::HttpBackendClient& engine;
+  BackendServers::HttpBackendClient& backend_client;
   Daemons::Membership& membership;
   Daemons::Link& link;
   TableFollower& table;
--- a/Source/Core/Serving/Router.cpp
+++ b/Source/Core/Serving/Router.cpp
@@ -23,7 +23,7 @@
 using Daemons::LoadReply;
 using Daemons::LoadRequest;
 
-constexpr Milliseconds AVOID_AFTER_DECLINE{400};
+constexpr Milliseconds AVOID_AFTER_REJECTION{400};
 constexpr Milliseconds LOAD_REQUEST_RETRY{50};
 constexpr Milliseconds RETRY_AFTER_DEADLINE{1000};
 constexpr std::int64_t DEFAULT_LIMIT = 64;
@@ -213,7 +213,7 @@
     Common::Spawn(RequestLoads(queue.artifact.id));
 }
 
-Milliseconds Router::Patience(const ArtifactQueue& queue) const
+Milliseconds Router::TimeToLatestDeadline(const ArtifactQueue& queue) const
 {
   Milliseconds longest{0};
   for (const auto& [id, waiter] : queue.waiters)
@@ -232,7 +232,7 @@
     LoadRequest request;
     request.artifact = id;
     request.request = queue.waiters.begin()->second.request.request;
-    request.patience_ms = Patience(queue).count();
+    request.patience_ms = TimeToLatestDeadline(queue).count();
     request.waiting = static_cast<std::int64_t>(queue.waiters.size());
     request.additional_replica = !Candidates(queue, queue.waiters.begin()->second.request).empty();
     if (!coordinator || request.patience_ms <= 0)
@@ -281,9 +281,9 @@
   Dispatch(queue);
 }
 
-void Router::OnServerDeclined(const ArtifactId& artifact, const VmId& server)
+void Router::OnRequestRejected(const ArtifactId& artifact, const VmId& server)
 {
-  m_queues[artifact].avoided_until[server] = Now() + AVOID_AFTER_DECLINE;
+  m_queues[artifact].avoided_until[server] = Now() + AVOID_AFTER_REJECTION;
 }
 
 void Router::OnReplicasChanged(const std::set<ArtifactId>& artifacts)
--- a/Source/Core/Serving/Router.h
+++ b/Source/Core/Serving/Router.h
@@ -75,7 +75,7 @@
 
   /// A backend server rejected a request although its status lists it as serving. It is skipped for
   /// 400 ms.
-  void OnServerDeclined(const Common::ArtifactId& artifact, const Common::VmId& server);
+  void OnRequestRejected(const Common::ArtifactId& artifact, const Common::VmId& server);
   /// Called when replicas of these artifacts have changed in the status registry.
   void OnReplicasChanged(const std::set<Common::ArtifactId>& artifacts);
 
@@ -110,7 +110,7 @@
   void Release(Common::ArtifactId artifact, Common::VmId server, Common::TimePoint began);
   Common::Task<void> RequestLoads(Common::ArtifactId id);
   void RefuseAll(ArtifactQueue& queue, const Refusal& refusal);
-  Common::Milliseconds Patience(const ArtifactQueue& queue) const;
+  Common::Milliseconds TimeToLatestDeadline(const ArtifactQueue& queue) const;
 
   Environment& m_environment;
   std::map<Common::ArtifactId, ArtifactQueue> m_queues;
--- a/Source/Core/Serving/ServerController.cpp
+++ b/Source/Core/Serving/ServerController.cpp
@@ -79,7 +79,7 @@
 Task<void> ServerController::Run()
 {
   const auto self = shared_from_this();
-  while (!m_retired || HasUnsettledClaims())
+  while (!m_retired || HasUnresolvedClaims())
   {
     co_await PollReport();
     if (!m_ledger.IsKnown())
@@ -102,8 +102,8 @@
 
 Task<void> ServerController::PollReport()
 {
-  const TimePoint asked = Now();
-  auto report = co_await m_environment.engine.Report(m_server.address);
+  const TimePoint requested_at = Now();
+  auto report = co_await m_environment.backend_client.Report(m_server.address);
   if (!report || report->vm != m_server.vm)
   {
     m_report_current = false;
@@ -122,7 +122,7 @@
   m_failed_reports = 0;
   m_report = std::move(*report);
   m_report_current = true;
-  m_report_requested_at = asked;
+  m_report_requested_at = requested_at;
   for (const ReportedArtifact& artifact : m_report->artifacts)
     m_absent_since.erase(artifact.id);
   for (const Claim& claim : m_ledger.Row().claims)
@@ -144,7 +144,7 @@
   return claim.holder == self.vm && claim.holder_incarnation == self.incarnation;
 }
 
-bool ServerController::HasUnsettledClaims() const
+bool ServerController::HasUnresolvedClaims() const
 {
   return std::ranges::any_of(m_ledger.Row().claims, [this](const Claim& claim) {
     return IsOwnClaim(claim) && claim.state != ClaimState::Loaded;
@@ -184,7 +184,7 @@
          m_environment.server_statuses.IsRetired(m_server.vm, Now(), m_environment.timing.list_lag);
 }
 
-Decisions::ReconcileInput ServerController::Describe(const Claim& claim)
+Decisions::ReconcileInput ServerController::BuildReconcileInput(const Claim& claim)
 {
   Decisions::ReconcileInput input;
   TimePoint since;
@@ -222,15 +222,15 @@
     const auto& claims = m_ledger.Row().claims;
     const auto found = std::ranges::find(claims, id, &Claim::id);
     if (found != claims.end())
-      co_await ReconcileOne(*found);
+      co_await ReconcileClaim(*found);
   }
 }
 
-Task<void> ServerController::ReconcileOne(Claim claim)
+Task<void> ServerController::ReconcileClaim(Claim claim)
 {
   if (m_unloading.contains(claim.id))
     co_return;
-  const ReconcileAction action = Decisions::Reconcile(Describe(claim));
+  const ReconcileAction action = Decisions::Reconcile(BuildReconcileInput(claim));
   // A daemon that no longer manages the server resolves only its own claims.
   if (action == ReconcileAction::Keep || (m_retired && !IsOwnClaim(claim)))
     co_return;
@@ -250,7 +250,7 @@
     co_await RaiseFence();
     break;
   case ReconcileAction::Free:
-    co_await Free(claim);
+    co_await ReleaseClaim(claim);
     break;
   case ReconcileAction::SendUnload:
     co_await SendUnload(claim);
@@ -273,8 +273,8 @@
   order.kind = OrderKind::RaiseFence;
   order.fence = fence;
   order.incarnation = m_report->incarnation;
-  const auto done = co_await m_environment.engine.Order(m_server.address, order,
-                                                        m_environment.timing.claim_timeout);
+  const auto done = co_await m_environment.backend_client.Order(m_server.address, order,
+                                                                m_environment.timing.claim_timeout);
   if (!done)
     co_return;
   m_fenced_incarnation = order.incarnation;
--- a/Source/Core/Serving/ServerController.h
+++ b/Source/Core/Serving/ServerController.h
@@ -46,7 +46,7 @@
 
   Common::Task<void> PollReport();
   Common::Task<void> ReconcileClaims();
-  Common::Task<void> ReconcileOne(Claim claim);
+  Common::Task<void> ReconcileClaim(Claim claim);
   Common::Task<void> UnloadOrphans();
   Common::Task<void> UnloadSurplusAndIdle();
   Common::Task<void> RaiseFence();
@@ -64,14 +64,14 @@
   Common::Task<bool> IsStillOwned(Common::ClaimId id);
   Common::Task<Common::Result<Common::FencingNumber>> RenewFence(Common::ClaimId id);
   Common::Task<Common::Result<Common::Done>> MarkLoaded(Common::ClaimId id);
-  Common::Task<Common::Result<Common::Done>> Free(Claim seen);
+  Common::Task<Common::Result<Common::Done>> ReleaseClaim(Claim seen);
   Common::Task<Common::Result<Common::Done>> Unload(Common::ClaimId id);
   Common::Task<Common::Result<Common::Done>> SendUnload(Claim claim);
   Common::Task<bool> GetPermit(const Table::Artifact& artifact, Common::ClaimId claim,
-                               Common::Milliseconds patience);
+                               Common::Milliseconds timeout);
   void ReturnPermit(Common::ClaimId claim);
 
-  Decisions::ReconcileInput Describe(const Claim& claim);
+  Decisions::ReconcileInput BuildReconcileInput(const Claim& claim);
   Decisions::OrderStatus OrderStatusOf(const Claim& claim, Common::TimePoint* since) const;
   const BackendServers::ReportedArtifact* Reported(const Common::ArtifactId& id) const;
   bool IsOwnClaim(const Claim& claim) const;
@@ -80,7 +80,7 @@
   bool IsCached(const Common::ArtifactId& id) const;
   /// Whether the replica of the claim is not idle according to the server's last report.
   bool IsInUse(const Common::ClaimId& id) const;
-  bool HasUnsettledClaims() const;
+  bool HasUnresolvedClaims() const;
   bool IsSurplus(const Claim& claim) const;
   bool HasLoadedAdapter(const Common::ArtifactId& base) const;
   void Publish();
--- a/Source/Core/Serving/ServerControllerOrders.cpp
+++ b/Source/Core/Serving/ServerControllerOrders.cpp
@@ -150,7 +150,7 @@
   if (!local.sent || kind == FailureKind::NotSent || kind == FailureKind::Refused)
   {
     local.sent = false;
-    co_await Free(*claim);
+    co_await ReleaseClaim(*claim);
   }
   reply.failure = kind;
   reply.detail = loaded.Reason().detail;
@@ -259,8 +259,8 @@
               {"artifact", artifact.id},
               {"claim", claim.id},
               {"fence", order.fence}});
-    const auto done = co_await m_environment.engine.Order(m_server.address, order,
-                                                          m_environment.timing.order_timeout);
+    const auto done = co_await m_environment.backend_client.Order(
+        m_server.address, order, m_environment.timing.order_timeout);
     if (done || done.Reason().kind != FailureKind::Refused)
       co_return done;
     // The order was not executed: a later one reached the server first, or the server restarted.
@@ -315,7 +315,7 @@
 
 /// Releases a claim. `seen` is the state that the decision was based on; if the claim has changed
 /// since, it is not released.
-Task<Result<Done>> ServerController::Free(Claim seen)
+Task<Result<Done>> ServerController::ReleaseClaim(Claim seen)
 {
   const ClaimId id = seen.id;
   const auto edit = [&](ServerRow& row,
@@ -367,7 +367,7 @@
     Publish();
     done = co_await SendUnload(unloading);
     if (done)
-      done = co_await Free(unloading);
+      done = co_await ReleaseClaim(unloading);
   }
   m_unloading.erase(id);
   co_return done;
@@ -392,8 +392,8 @@
   order.claim = claim.id;
   LogEvent(LogLevel::Info, "unload.ordered",
            {{"server", m_server.vm}, {"artifact", claim.artifact}, {"claim", claim.id}});
-  co_return co_await m_environment.engine.Order(m_server.address, order,
-                                                m_environment.timing.order_timeout);
+  co_return co_await m_environment.backend_client.Order(m_server.address, order,
+                                                        m_environment.timing.order_timeout);
 }
 
 bool ServerController::IsInUse(const ClaimId& id) const
@@ -417,7 +417,7 @@
 /// concurrently. If the daemon that grants the permits is unreachable, the load proceeds without
 /// one: permits only matter for speed, not for safety.
 Task<bool> ServerController::GetPermit(const Table::Artifact& artifact, ClaimId claim,
-                                       Milliseconds patience)
+                                       Milliseconds timeout)
 {
   const auto allocator =
       Decisions::PickByRendezvous("weight-store", m_environment.membership.LiveEverywhere(Now()));
@@ -426,10 +426,10 @@
   Daemons::PermitRequest request;
   request.claim = claim;
   request.artifact = artifact.id;
-  request.patience_ms = patience.count();
+  request.patience_ms = timeout.count();
   request.weight = artifact.weight;
   const auto reply =
-      co_await m_environment.link.SendCall(*allocator, Daemons::Call(request), patience);
+      co_await m_environment.link.SendCall(*allocator, Daemons::Call(request), timeout);
   if (!reply)
     co_return reply.Reason().kind != FailureKind::Timeout;
   const auto* permit = std::get_if<Daemons::PermitReply>(&*reply);
--- a/Source/Core/Serving/ServerStatusRegistry.cpp
+++ b/Source/Core/Serving/ServerStatusRegistry.cpp
@@ -53,7 +53,7 @@
 {
   if (!m_first_list_at)
     m_first_list_at = now;
-  m_leaving.clear();
+  m_draining.clear();
   m_listed.clear();
   for (const Platform::VmEntry& entry : entries)
   {
@@ -62,7 +62,7 @@
     m_listed.insert(entry.vm);
     m_ever_listed.insert(entry.vm);
     if (entry.state == Platform::VmState::Leaving)
-      m_leaving.insert(entry.vm);
+      m_draining.insert(entry.vm);
   }
 }
 
@@ -107,7 +107,7 @@
 bool ServerStatusRegistry::TakesWork(const VmId& server) const
 {
   const Entry* entry = Find(server);
-  return entry && entry->status.ready && !m_leaving.contains(server);
+  return entry && entry->status.ready && !m_draining.contains(server);
 }
 
 std::vector<VmId> ServerStatusRegistry::With(const ArtifactId& artifact, ReplicaState state) const
--- a/Source/Core/Serving/ServerStatusRegistry.h
+++ b/Source/Core/Serving/ServerStatusRegistry.h
@@ -46,7 +46,7 @@
   static Common::Milliseconds IdleTime(const Entry& entry, const Daemons::ReplicaStatus& replica,
                                        Common::TimePoint now);
   const std::map<Common::VmId, Entry>& Entries() const { return m_entries; }
-  bool IsLeaving(const Common::VmId& server) const { return m_leaving.contains(server); }
+  bool IsDraining(const Common::VmId& server) const { return m_draining.contains(server); }
   /// Whether the server may get new work: it is ready and not draining.
   bool TakesWork(const Common::VmId& server) const;
   /// Returns the servers with a replica of the artifact in the given state.
@@ -63,7 +63,7 @@
 
   std::map<Common::VmId, Entry> m_entries;
   std::map<Common::ArtifactId, std::set<Common::VmId>> m_by_artifact;
-  std::set<Common::VmId> m_leaving;
+  std::set<Common::VmId> m_draining;
   std::set<Common::VmId> m_listed;
   std::set<Common::VmId> m_ever_listed;
   std::optional<Common::TimePoint> m_first_list_at;
--- a/Source/Core/Serving/TableFollower.cpp
+++ b/Source/Core/Serving/TableFollower.cpp
@@ -31,7 +31,7 @@
 constexpr const char* CURRENT_PREFIX = "table/current/";
 constexpr const char* ROW_PREFIX = "table/current/row/";
 constexpr std::size_t MAX_RECENT = 256;
-constexpr std::int64_t MAX_STEPS = 64;
+constexpr std::int64_t MAX_REVISIONS_BEHIND = 64;
 constexpr Milliseconds PULL_TIMEOUT{2000};
 constexpr Milliseconds APPLY_TIMEOUT{5000};
 /// The poll interval grows with the number of daemons, which limits all of them together to 66
@@ -139,13 +139,13 @@
 
 Task<Result<Done>> TableFollower::CatchUp(std::int64_t head)
 {
-  if (!m_has_table || head - m_revision.Get() > MAX_STEPS)
+  if (!m_has_table || head - m_revision.Get() > MAX_REVISIONS_BEHIND)
     co_return co_await ReadAll();
   const auto changes = co_await ReadChanges(m_revision.Get() + 1, head);
   if (!changes)
     co_return changes.Reason();
   for (const Table::Change& change : *changes)
-    Step(change);
+    ApplyNext(change);
   if (m_revision.Get() < head)
     co_return co_await ReadAll();
   co_return Done{};
@@ -198,7 +198,7 @@
   co_return Done{};
 }
 
-void TableFollower::Step(const Table::Change& change)
+void TableFollower::ApplyNext(const Table::Change& change)
 {
   if (change.revision.Get() != m_revision.Get() + 1)
     return;
@@ -251,17 +251,17 @@
   if (table->whole)
     Replace(table->revision, table->rows);
   for (const Table::Change& change : table->changes)
-    Step(change);
+    ApplyNext(change);
 }
 
-Daemons::TableReply TableFollower::Answer(const Daemons::TablePull& pull) const
+Daemons::TableReply TableFollower::BuildReply(const Daemons::TablePull& pull) const
 {
   Daemons::TableReply reply;
   reply.revision = m_revision;
-  const bool stepwise =
+  const bool has_changes =
       pull.known_revision >= m_revision ||
       (!m_recent.empty() && m_recent.front().revision.Get() <= pull.known_revision.Get() + 1);
-  if (stepwise)
+  if (has_changes)
   {
     std::ranges::copy_if(m_recent, std::back_inserter(reply.changes),
                          [&](const Table::Change& change) {
@@ -312,7 +312,7 @@
     co_return Failure{FailureKind::Conflict, "another edit was committed first"};
   change.version = outcome->version;
   m_head_version = outcome->version;
-  Step(change);
+  ApplyNext(change);
   // Only the daemon that accepted the edit announces it. If every daemon did, an edit would cost as
   // many heartbeats as there are pairs of daemons.
   m_link.ScheduleHeartbeats();
--- a/Source/Core/Serving/TableFollower.h
+++ b/Source/Core/Serving/TableFollower.h
@@ -44,7 +44,7 @@
   Common::Task<Common::Result<Common::Done>> Refresh();
   /// Called when a heartbeat announces that `vm` has `revision`; pulls it if it is newer.
   void OnPeerRevision(const Common::VmId& vm, Common::Revision revision);
-  Daemons::TableReply Answer(const Daemons::TablePull& pull) const;
+  Daemons::TableReply BuildReply(const Daemons::TablePull& pull) const;
 
   /// Replaces the table with `rows`, provided that it is still at the revision that the operator
   /// saw; otherwise fails with Conflict. A repeated edit with a known `change_id`, whose response
@@ -61,7 +61,7 @@
   Common::Task<Common::Result<Common::Done>> ReadAll();
   Common::Task<Common::Result<std::vector<Table::Change>>> ReadChanges(std::int64_t first,
                                                                        std::int64_t last);
-  void Step(const Table::Change& change);
+  void ApplyNext(const Table::Change& change);
   void Replace(Common::Revision revision, Table::RowMap rows);
   void Rebuild();
 
