--- a/Source/Core/Common/Mechanisms.h
+++ b/Source/Core/Common/Mechanisms.h
@@ -18,7 +18,7 @@
   RemoteLoad,      ///< Requests of other daemons count against the capacity of a server.
   SpareReplicas,   ///< A frequently requested model keeps a second replica.
   Turns,           ///< A model that has waited for long may evict one in use.
-  DiskWait,        ///< Waits for a busy server that has the model on disk.
+  DiskWait,        ///< The plan waits for a busy server that has the model on disk.
   Ejection,        ///< A failing server temporarily gets no requests.
   SilenceDetector, ///< A server with open requests that sends nothing gets no new ones.
   BudgetSlack,     ///< Daemons share the unused retry budget.
--- a/Source/Core/Serving/ClaimLedger.h
+++ b/Source/Core/Serving/ClaimLedger.h
@@ -44,6 +44,7 @@
                                                                Common::TimePoint deadline);
 
 private:
+  /// Replaces the known row and version. Fails with Protocol if the stored row cannot be parsed.
   Common::Result<Common::Done> SetRow(const Platform::StoredRow& stored);
 
   Platform::Store& m_store;
--- a/Source/Core/Serving/ServerController.h
+++ b/Source/Core/Serving/ServerController.h
@@ -80,6 +80,7 @@
   bool IsCached(const Common::ArtifactId& id) const;
   /// Whether the replica of the claim is not idle according to the server's last report.
   bool IsInUse(const Common::ClaimId& id) const;
+  /// Whether this daemon holds a claim that is not in state Loaded.
   bool HasUnresolvedClaims() const;
   bool IsSurplus(const Claim& claim) const;
   bool HasLoadedAdapter(const Common::ArtifactId& base) const;
--- a/Source/Core/Serving/TableFollower.h
+++ b/Source/Core/Serving/TableFollower.h
@@ -44,6 +44,7 @@
   Common::Task<Common::Result<Common::Done>> Refresh();
   /// Called when a heartbeat announces that `vm` has `revision`; pulls it if it is newer.
   void OnPeerRevision(const Common::VmId& vm, Common::Revision revision);
+  /// Returns the changes that the peer lacks, or the complete table if they are no longer kept.
   Daemons::TableReply BuildReply(const Daemons::TablePull& pull) const;
 
   /// Replaces the table with `rows`, provided that it is still at the revision that the operator
@@ -61,6 +62,7 @@
   Common::Task<Common::Result<Common::Done>> ReadAll();
   Common::Task<Common::Result<std::vector<Table::Change>>> ReadChanges(std::int64_t first,
                                                                        std::int64_t last);
+  /// Applies the change if it leads to the next revision; ignores any other.
   void ApplyNext(const Table::Change& change);
   void Replace(Common::Revision revision, Table::RowMap rows);
   void Rebuild();
