--- a/Source/Core/Serving/ClaimLedger.h
+++ b/Source/Core/Serving/ClaimLedger.h
@@ -44,7 +44,8 @@
                                                                Common::TimePoint deadline);
 
 private:
-  Common::Result<Common::Done> Adopt(const Platform::StoredRow& stored);
+  /// Replaces the known row and version. Fails with Protocol if the stored row cannot be parsed.
+  Common::Result<Common::Done> SetRow(const Platform::StoredRow& stored);
 
   Platform::Store& m_store;
   Common::VmId m_server;
--- a/Source/Core/Serving/ServerControllerOrders.cpp
+++ b/Source/Core/Serving/ServerControllerOrders.cpp
@@ -56,7 +56,7 @@
     co_return Refuse({FailureKind::NotFound, "the table has no " + order.artifact.Get()});
   for (const ClaimId& id : order.evict)
   {
-    // The decision may be based on an outdated status; the engine's last report is newer.
+    // The decision may be based on an outdated status; the server's last report is newer.
     if (IsInUse(id))
       co_return Refuse({FailureKind::Overloaded, "a replica to evict is in use again"});
     const auto evicted = co_await Unload(id);
@@ -150,7 +150,7 @@
   if (!local.sent || kind == FailureKind::NotSent || kind == FailureKind::Refused)
   {
     local.sent = false;
-    co_await Free(*claim);
+    co_await ReleaseClaim(*claim);
   }
   reply.failure = kind;
   reply.detail = loaded.Reason().detail;
@@ -219,7 +219,7 @@
 }
 
 /// Reads the row to check that the claim still belongs to this daemon. After a long pause, such as
-/// a freeze of the VM, another daemon may have taken it over. This only avoids a useless order;
+/// a suspension of the VM, another daemon may have taken it over. This only avoids a useless order;
 /// safety is guaranteed by the claim itself, which remains counted.
 Task<bool> ServerController::IsStillOwned(ClaimId id)
 {
@@ -245,8 +245,8 @@
   for (int attempt = 0; attempt < MAX_ORDER_TRIES; ++attempt)
   {
     co_await Common::Sleep{Milliseconds(0)};
-    // `checked` is initially a time before the claim's commit, so that a freeze during the commit
-    // is noticed as well.
+    // `checked` is initially a time before the claim's commit, so that a suspension during
+    // the commit is detected as well.
     if (Now() - checked > m_environment.timing.freeze_limit)
     {
       const bool held = co_await IsStillOwned(claim.id);
@@ -259,18 +259,18 @@
               {"artifact", artifact.id},
               {"claim", claim.id},
               {"fence", order.fence}});
-    const auto done = co_await m_environment.engine.Order(m_server.address, order,
-                                                          m_environment.timing.order_timeout);
+    const auto done = co_await m_environment.backend_client.Order(
+        m_server.address, order, m_environment.timing.order_timeout);
     if (done || done.Reason().kind != FailureKind::Refused)
       co_return done;
-    // Definitely not executed: a later order overtook this one, or the engine was restarted.
+    // The order was not executed: a later one reached the server first, or the server restarted.
     const auto fence = co_await RenewFence(claim.id);
     if (!fence)
       co_return Failure{FailureKind::Refused, fence.Reason().detail};
     order.fence = *fence;
     checked = Now();
   }
-  co_return Failure{FailureKind::Refused, "the engine refused the order repeatedly"};
+  co_return Failure{FailureKind::Refused, "the backend server rejected the order repeatedly"};
 }
 
 Task<Result<FencingNumber>> ServerController::RenewFence(ClaimId id)
@@ -315,7 +315,7 @@
 
 /// Releases a claim. `seen` is the state that the decision was based on; if the claim has changed
 /// since, it is not released.
-Task<Result<Done>> ServerController::Free(Claim seen)
+Task<Result<Done>> ServerController::ReleaseClaim(Claim seen)
 {
   const ClaimId id = seen.id;
   const auto edit = [&](ServerRow& row,
@@ -340,7 +340,7 @@
 }
 
 /// Marks the claim as unloading first, so that no daemon sends requests to the replica, and then
-/// orders the engine to complete its running requests and unload.
+/// orders the server to complete its running requests and unload.
 Task<Result<Done>> ServerController::Unload(ClaimId id)
 {
   const auto self = shared_from_this();
@@ -367,7 +367,7 @@
     Publish();
     done = co_await SendUnload(unloading);
     if (done)
-      done = co_await Free(unloading);
+      done = co_await ReleaseClaim(unloading);
   }
   m_unloading.erase(id);
   co_return done;
@@ -392,8 +392,8 @@
   order.claim = claim.id;
   LogEvent(LogLevel::Info, "unload.ordered",
            {{"server", m_server.vm}, {"artifact", claim.artifact}, {"claim", claim.id}});
-  co_return co_await m_environment.engine.Order(m_server.address, order,
-                                                m_environment.timing.order_timeout);
+  co_return co_await m_environment.backend_client.Order(m_server.address, order,
+                                                        m_environment.timing.order_timeout);
 }
 
 bool ServerController::IsInUse(const ClaimId& id) const
@@ -417,7 +417,7 @@
 /// concurrently. If the daemon that grants the permits is unreachable, the load proceeds without
 /// one: permits only matter for speed, not for safety.
 Task<bool> ServerController::GetPermit(const Table::Artifact& artifact, ClaimId claim,
-                                       Milliseconds patience)
+                                       Milliseconds timeout)
 {
   const auto allocator =
       Decisions::PickByRendezvous("weight-store", m_environment.membership.LiveEverywhere(Now()));
@@ -426,10 +426,10 @@
   Daemons::PermitRequest request;
   request.claim = claim;
   request.artifact = artifact.id;
-  request.patience_ms = patience.count();
+  request.patience_ms = timeout.count();
   request.weight = artifact.weight;
   const auto reply =
-      co_await m_environment.link.SendCall(*allocator, Daemons::Call(request), patience);
+      co_await m_environment.link.SendCall(*allocator, Daemons::Call(request), timeout);
   if (!reply)
     co_return reply.Reason().kind != FailureKind::Timeout;
   const auto* permit = std::get_if<Daemons::PermitReply>(&*reply);
