--- a/Source/Benchmarks/PermitBenchmark.cpp
+++ b/Source/Benchmarks/PermitBenchmark.cpp
@@ -1,7 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// What one daemon's message costs the holder while many servers have a limit.
+// Measures the cost for the holder of the order lease to process one daemon's demand for permits
+// while many servers have a rate limit.
 
 #include <string>
 #include <vector>
@@ -15,9 +16,9 @@
 using namespace RateLimits;
 
 constexpr std::int64_t DAEMONS = 330;
-constexpr std::int64_t WANTS_A_DAEMON = 8;
+constexpr std::int64_t DEMANDS_PER_DAEMON = 8;
 
-void HolderTakesAWant(benchmark::State& state)
+void UpdateDemandAndGrantPermits(benchmark::State& state)
 {
   const std::int64_t servers = state.range(0);
   auto now = Common::BootClock::now();
@@ -29,11 +30,11 @@
   std::int64_t message = 0;
   for (auto _ : state)
   {
-    // Each daemon asks about seven times a second.
+    // One message every 450 us from 330 daemons: each sends about seven per second.
     now += std::chrono::microseconds(450);
     const std::int64_t daemon = ++message % DAEMONS;
     std::vector<PermitDemand> demands;
-    for (std::int64_t i = 0; i < WANTS_A_DAEMON; ++i)
+    for (std::int64_t i = 0; i < DEMANDS_PER_DAEMON; ++i)
       demands.push_back({ServerKey((daemon * 7 + i) % servers), 1, 5, 1000});
     allocator.UpdateDemand({Common::VmId(std::to_string(daemon)), Common::DataCentreId("a")},
                            demands, now);
@@ -41,5 +42,5 @@
     benchmark::DoNotOptimize(allocator.NextGrantAt(now));
   }
 }
-BENCHMARK(HolderTakesAWant)->Arg(10)->Arg(200);
+BENCHMARK(UpdateDemandAndGrantPermits)->Arg(10)->Arg(200);
 } // namespace
--- a/Source/Core/Callers/CallContext.h
+++ b/Source/Core/Callers/CallContext.h
@@ -8,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "Callers/Answers.h"
+#include "Callers/CallFailure.h"
 #include "Common/Loop.h"
 #include "Common/Metrics.h"
 #include "Http/Server.h"
@@ -17,50 +17,51 @@
 
 namespace Callers
 {
-/// What the callers' interfaces share.
-struct Gateway
+/// State shared by all HTTP interfaces for callers.
+struct ApiContext
 {
   Serving::Environment& environment;
   Serving::Router& router;
   Common::Metrics& metrics;
-  /// Open requests of each calling service.
-  std::map<Common::ServiceId, std::int64_t> open;
-  Decisions::RetryBudget retries;
+  /// Number of open requests per calling service.
+  std::map<Common::ServiceId, std::int64_t> open_requests;
+  Decisions::RetryBudget retry_budget;
   bool stopping = false;
 };
 
-/// Who calls, until when, and under which id: read from the head of the request.
+/// Id, calling service and deadline of a request, read from its headers.
 struct CallContext
 {
   Common::RequestId request;
   Table::Service service;
   Common::TimePoint arrived;
-  Common::Milliseconds patience{0};
+  Common::Milliseconds timeout{0};
 
-  Common::TimePoint Deadline() const { return arrived + patience; }
-  Common::Milliseconds Left() const
+  Common::TimePoint Deadline() const { return arrived + timeout; }
+  Common::Milliseconds TimeLeft() const
   {
     return std::chrono::duration_cast<Common::Milliseconds>(Deadline() - Common::Now());
   }
 };
 
-/// Counts a request as open until it is destroyed.
-class OpenRequest
+/// Counts a request of `service` as open for the lifetime of this object.
+class OpenRequestCounter
 {
 public:
-  OpenRequest(Gateway& gateway, Common::ServiceId service);
-  ~OpenRequest();
-  OpenRequest(const OpenRequest&) = delete;
-  OpenRequest& operator=(const OpenRequest&) = delete;
+  OpenRequestCounter(ApiContext& api_context, Common::ServiceId service);
+  ~OpenRequestCounter();
+  OpenRequestCounter(const OpenRequestCounter&) = delete;
+  OpenRequestCounter& operator=(const OpenRequestCounter&) = delete;
 
 private:
-  Gateway& m_gateway;
+  ApiContext& m_api_context;
   Common::ServiceId m_service;
 };
 
-/// Identifies the caller and checks its limits. `fallback` is the deadline where neither the
-/// request (X-Deadline-Ms) nor its service in the table names one.
+/// Identifies the calling service and checks its limit of open requests. `default_timeout` is the
+/// timeout if neither the request (X-Deadline-Ms) nor the service's row in the table sets one; if
+/// it is zero, the table's `deadline_ms` setting applies.
 /// Failures: Unauthorized, InvalidInput, Overloaded, Unavailable.
-Common::Result<CallContext> Identify(Gateway& gateway, const Http::Exchange& exchange,
-                                     Common::Milliseconds fallback);
+Common::Result<CallContext> IdentifyCaller(ApiContext& api_context, const Http::Exchange& exchange,
+                                           Common::Milliseconds default_timeout);
 } // namespace Callers
--- a/Source/Core/Callers/ChatRelay.h
+++ b/Source/Core/Callers/ChatRelay.h
@@ -13,32 +13,33 @@
 
 namespace Callers
 {
-/// One chat completion on its way to an engine.
+/// A chat completion request to be sent to a backend server.
 struct ChatRequest
 {
   CallContext context;
   Table::Artifact artifact;
-  std::string body; ///< JSON with the artifact as its model.
+  std::string body; ///< JSON; `model` is the id of the artifact.
   std::string affinity;
 };
 
-/// A whole answer.
-struct ChatAnswer
+/// A complete response.
+struct ChatResponse
 {
   std::string body;
   Common::VmId server;
 };
 
-/// Sends chat completions to engines. Generation may be repeated: as long as no byte of an answer
-/// went to the caller, a broken attempt is tried elsewhere, within the deadline and the budget.
+/// Sends chat completions to backend servers. Generation is repeatable: a failed attempt is retried
+/// as long as no byte of a response was sent to the caller, within the deadline, the retry budget
+/// and the maximum number of attempts.
 class ChatRelay
 {
 public:
-  explicit ChatRelay(Gateway& gateway) : m_gateway(gateway) {}
+  explicit ChatRelay(ApiContext& api_context) : m_api_context(api_context) {}
 
-  Common::Task<std::variant<ChatAnswer, CallFailure>> RunWhole(ChatRequest request);
-  /// Streams to the caller, and answers it in every case.
-  Common::Task<void> RunStream(ChatRequest request, Http::ExchangePtr exchange);
+  Common::Task<std::variant<ChatResponse, CallFailure>> FetchResponse(ChatRequest request);
+  /// Streams the response to the caller. On failure, sends the error to the caller as well.
+  Common::Task<void> StreamResponse(ChatRequest request, Http::ExchangePtr exchange);
 
 private:
   struct Opened
@@ -47,23 +48,23 @@
     std::unique_ptr<Http::ResponseStream> stream;
   };
   using Attempt = std::variant<Opened, CallFailure>;
-  /// What one request has tried already.
-  struct History
+  /// The attempts made for one request so far.
+  struct AttemptHistory
   {
     int attempts = 0;
     std::set<Common::VmId> failed;
   };
 
-  /// Routes and sends until an engine begins to answer with this request's id.
-  Common::Task<Attempt> Open(ChatRequest request, History* history);
-  /// Whether another attempt may be made; takes it from the budget.
-  bool MayRetry(const CallContext& context, const History& history);
-  Common::Task<std::variant<std::string, CallFailure>> ReadWhole(Http::ResponseStream& stream,
-                                                                 CallContext context);
-  Common::Task<void> Relay(Http::ResponseStream& stream, std::string first, CallContext context,
-                           Http::ExchangePtr exchange);
-  Common::Milliseconds StallPatience() const;
+  /// Routes and sends the request until a backend server starts a response with this request's id.
+  Common::Task<Attempt> Open(ChatRequest request, AttemptHistory* history);
+  /// Returns whether another attempt is allowed. If so, consumes a token of the retry budget.
+  bool MayRetry(const CallContext& context, const AttemptHistory& history);
+  Common::Task<std::variant<std::string, CallFailure>>
+  ReadCompleteResponse(Http::ResponseStream& stream, CallContext context);
+  Common::Task<void> ForwardStream(Http::ResponseStream& stream, std::string first,
+                                   CallContext context, Http::ExchangePtr exchange);
+  Common::Milliseconds StallTimeout() const;
 
-  Gateway& m_gateway;
+  ApiContext& m_api_context;
 };
 } // namespace Callers
--- a/Source/Core/Operators/OperatorsApi.h
+++ b/Source/Core/Operators/OperatorsApi.h
@@ -17,16 +17,17 @@
 enum class Role
 {
   None,
-  Viewer, ///< May look.
-  Editor, ///< May change the table.
+  Viewer, ///< Read-only access.
+  Editor, ///< Read access and changes of the table.
 };
 
-/// Tokens of operators by role. Without any, everybody who reaches the address is an editor.
-class Tokens
+/// Access tokens of operators and their roles. If there are none, every client is an editor.
+class OperatorTokens
 {
 public:
-  /// Reads lines ROLE:TOKEN. Fails with InvalidInput where a line is not one.
-  static Common::Result<Tokens> Load(const std::string& path);
+  /// Reads a file with one ROLE:TOKEN per line; an empty path gives no tokens. Fails with
+  /// InvalidInput if the file cannot be read or a line is malformed.
+  static Common::Result<OperatorTokens> Load(const std::string& path);
 
   Role RoleOf(const Http::Exchange& exchange) const;
 
@@ -34,10 +35,10 @@
   std::map<std::string, Role> m_roles;
 };
 
-/// The parts of the daemon that operators look at.
-struct Inspected
+/// Components of the daemon whose state the operators' interface exposes.
+struct DaemonComponents
 {
-  Callers::Gateway& gateway;
+  Callers::ApiContext& api_context;
   Serving::ServerManager& server_manager;
   Serving::LoadPermitAllocator& load_permits;
   std::function<std::size_t()> running_jobs;
@@ -45,18 +46,18 @@
   std::function<bool()> ready;
 };
 
-/// The HTTP interface for operators: table, status, dump, explanations, probes, metrics.
+/// The HTTP interface for operators: table, status dump, decision log, health probes and metrics.
 class OperatorsApi
 {
 public:
-  OperatorsApi(Inspected inspected, Tokens tokens)
-      : m_inspected(std::move(inspected)), m_tokens(std::move(tokens))
+  OperatorsApi(DaemonComponents components, OperatorTokens tokens)
+      : m_components(std::move(components)), m_tokens(std::move(tokens))
   {
   }
 
   void Register(Http::Server& server);
 
-  /// The whole state of this daemon.
+  /// Returns the state of this daemon as JSON.
   Common::Json Dump();
 
 private:
@@ -69,7 +70,7 @@
   Common::Json DaemonsAsJson() const;
   Common::Json ServersAsJson() const;
 
-  Inspected m_inspected;
-  Tokens m_tokens;
+  DaemonComponents m_components;
+  OperatorTokens m_tokens;
 };
 } // namespace Operators
--- a/Source/LoadTool/Main.cpp
+++ b/Source/LoadTool/Main.cpp
@@ -1,8 +1,10 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// drumpond-load: sends seeded chat requests to daemons or straight to an engine, and prints what it
-// measured as one JSON line. Open loop: requests go out by the trace, however slow the answers are.
+// drumpond-load: load generator. Sends chat requests to daemons or directly to backend servers, and
+// bulk jobs to daemons, and prints the measurements as one JSON line. The requests follow a trace
+// that is generated from a seed, in an open loop: each is sent on time, however slow the responses
+// are. With --streams it runs a closed loop instead.
 
 #include <array>
 #include <cmath>
@@ -27,66 +29,71 @@
 using Common::Task;
 using Common::TimePoint;
 
-/// Enough to see the end mark of a stream.
+/// Number of last bytes of a stream to keep; must hold its end marker, "[DONE]" and two newlines.
 constexpr std::size_t TAIL_BYTES = 16;
 
 struct Options
 {
   std::vector<std::string> targets;
   std::vector<std::string> models;
-  double rate = 10;
+  double rate = 10; ///< Chat requests per second.
   double seconds = 10;
-  double exponent = 1.0;
-  double burst_every = 0;
+  double exponent = 1.0;  ///< Of the power law of model popularity.
+  double burst_every = 0; ///< Seconds between bursts; 0: none.
   int burst_size = 12;
-  int tokens = 8;
-  int streams = 0; ///< Closed loop with so many streams instead of the trace.
+  int tokens = 8;  ///< Per response.
+  int streams = 0; ///< Number of streams in a closed loop; 0: open loop with a trace.
   std::int64_t deadline_ms = 30000;
   std::uint64_t seed = 1;
-  double jobs_rate = 0;
+  double jobs_rate = 0; ///< Bulk jobs per second.
   std::string label;
 };
 
+/// A request of the trace.
 struct Arrival
 {
-  double at_s = 0;
-  std::size_t model = 0;
-  std::size_t target = 0;
-  bool job = false;
+  double at_s = 0;        ///< Since the start of the trace.
+  std::size_t model = 0;  ///< Index in `Options::models`.
+  std::size_t target = 0; ///< Index in `Options::targets`.
+  bool job = false;       ///< A bulk job instead of a chat request.
 };
 
+/// Returns a random number in [0, 1).
 double Uniform(Random& random)
 {
   return static_cast<double>(random() >> 11) * 0x1.0p-53;
 }
 
-/// Draws models by a power law of their rank.
-class Popularity
+/// Selects models at random, weighted by a power law of their rank.
+class ModelPopularity
 {
 public:
-  Popularity(std::size_t count, double exponent)
+  ModelPopularity(std::size_t count, double exponent)
   {
     for (std::size_t rank = 1; rank <= count; ++rank)
-      m_sums.push_back((m_sums.empty() ? 0 : m_sums.back()) +
-                       std::pow(static_cast<double>(rank), -exponent));
+      m_cumulative_weights.push_back(
+          (m_cumulative_weights.empty() ? 0 : m_cumulative_weights.back()) +
+          std::pow(static_cast<double>(rank), -exponent));
   }
   std::size_t Draw(Random& random) const
   {
-    const double value = Uniform(random) * m_sums.back();
-    return static_cast<std::size_t>(std::ranges::lower_bound(m_sums, value) - m_sums.begin());
+    const double value = Uniform(random) * m_cumulative_weights.back();
+    return static_cast<std::size_t>(std::ranges::lower_bound(m_cumulative_weights, value) -
+                                    m_cumulative_weights.begin());
   }
 
 private:
-  std::vector<double> m_sums;
+  std::vector<double> m_cumulative_weights;
 };
 
-/// Poisson arrivals, bursts of first requests at all targets, and jobs beside them.
+/// Generates the trace: chat requests and jobs as Poisson arrivals, and bursts of chat requests for
+/// one rarely used model, spread over all targets.
 std::vector<Arrival> MakeTrace(const Options& options)
 {
   Random random(options.seed);
-  const Popularity popularity(options.models.size(), options.exponent);
+  const ModelPopularity popularity(options.models.size(), options.exponent);
   std::vector<Arrival> trace;
-  const auto poisson = [&](double rate, bool job) {
+  const auto add_poisson_arrivals = [&](double rate, bool job) {
     for (double at = 0; rate > 0;)
     {
       at -= std::log(1 - Uniform(random)) / rate;
@@ -95,12 +102,12 @@
       trace.push_back({at, popularity.Draw(random), random() % options.targets.size(), job});
     }
   };
-  poisson(options.rate, false);
-  poisson(options.jobs_rate, true);
+  add_poisson_arrivals(options.rate, false);
+  add_poisson_arrivals(options.jobs_rate, true);
   for (double at = options.burst_every; options.burst_every > 0 && at < options.seconds;
        at += options.burst_every)
   {
-    // Bursts hit what is rarely used: the tail of the popularity.
+    // Bursts request one of the less popular half of the models, which are rarely loaded.
     const std::size_t half = options.models.size() / 2;
     const std::size_t model = half + random() % (options.models.size() - half);
     for (int number = 0; number < options.burst_size; ++number)
@@ -111,31 +118,33 @@
   return trace;
 }
 
-struct Measured
+struct Measurements
 {
+  /// Time to the first chunk if the response header X-Drumpond-Start is "cold": no replica was
+  /// available when the request arrived.
   LoadTool::Samples cold;
-  LoadTool::Samples warm;
-  LoadTool::Samples between_tokens;
-  LoadTool::Samples refusal;
+  LoadTool::Samples warm; ///< Time to the first chunk of all other responses.
+  LoadTool::Samples between_chunks;
+  LoadTool::Samples refusal; ///< Time to a response with a status other than 200.
   std::map<std::string, int> outcomes;
   std::int64_t tokens = 0;
-  int late = 0;
-  int open = 0;
+  int late_first_tokens = 0; ///< Responses whose first chunk came after the deadline.
+  int open_requests = 0;
 };
 
-double MillisecondsSince(TimePoint began)
+double MillisecondsSince(TimePoint start_time)
 {
-  return std::chrono::duration<double, std::milli>(Now() - began).count();
+  return std::chrono::duration<double, std::milli>(Now() - start_time).count();
 }
 
-class Sender
+class LoadGenerator
 {
 public:
-  explicit Sender(const Options& options) : m_options(options) {}
+  explicit LoadGenerator(const Options& options) : m_options(options) {}
 
-  Task<void> Chat(std::string target, std::string model)
+  Task<void> SendChat(std::string target, std::string model)
   {
-    ++m_measured.open;
+    ++m_measurements.open_requests;
     Http::Request request;
     request.method = "POST";
     request.url = target + "/v1/chat/completions";
@@ -148,20 +157,20 @@
                        {"max_tokens", m_options.tokens},
                        {"messages", Json::array({message})}};
     request.body = Common::DumpJson(body);
-    const TimePoint began = Now();
+    const TimePoint start_time = Now();
     auto opened = co_await m_client.Open(std::move(request));
     if (!opened)
-      Count("broken");
+      CountOutcome("broken");
     else if ((*opened)->Status() != 200)
-      co_await TakeRefusal(**opened, began);
+      co_await ReadRefusal(**opened, start_time);
     else
-      co_await TakeStream(**opened, began);
-    --m_measured.open;
+      co_await ReadStream(**opened, start_time);
+    --m_measurements.open_requests;
   }
 
-  Task<void> Job(std::string target, std::string model)
+  Task<void> SendJob(std::string target, std::string model)
   {
-    ++m_measured.open;
+    ++m_measurements.open_requests;
     Http::Request request;
     request.method = "POST";
     request.url = target + "/v1/jobs";
@@ -169,27 +178,27 @@
     const Json body = {{"model", model}, {"messages", Json::array({message})}};
     request.body = Common::DumpJson(body);
     const auto response = co_await m_client.Send(std::move(request));
-    Count(response && response->status == 202 ? "job_accepted" : "job_refused");
-    --m_measured.open;
+    CountOutcome(response && response->status == 202 ? "job_accepted" : "job_refused");
+    --m_measurements.open_requests;
   }
 
-  const Measured& Result() const { return m_measured; }
+  const Measurements& GetMeasurements() const { return m_measurements; }
 
 private:
-  void Count(const std::string& outcome) { ++m_measured.outcomes[outcome]; }
+  void CountOutcome(const std::string& outcome) { ++m_measurements.outcomes[outcome]; }
 
-  Task<void> TakeRefusal(Http::ResponseStream& stream, TimePoint began)
+  Task<void> ReadRefusal(Http::ResponseStream& stream, TimePoint start_time)
   {
-    Count("status_" + std::to_string(stream.Status()));
-    m_measured.refusal.Add(MillisecondsSince(began));
+    CountOutcome("status_" + std::to_string(stream.Status()));
+    m_measurements.refusal.Add(MillisecondsSince(start_time));
     co_await stream.Read(Milliseconds(1000));
   }
 
-  Task<void> TakeStream(Http::ResponseStream& stream, TimePoint began)
+  Task<void> ReadStream(Http::ResponseStream& stream, TimePoint start_time)
   {
     bool first = true;
     std::string tail;
-    TimePoint last = began;
+    TimePoint last = start_time;
     while (true)
     {
       auto chunk = co_await stream.Read(Milliseconds(20000));
@@ -199,31 +208,31 @@
       const auto start = headers.find("x-drumpond-start");
       const bool cold = start != headers.end() && start->second == "cold";
       if (first)
-        (cold ? m_measured.cold : m_measured.warm).Add(MillisecondsSince(began));
+        (cold ? m_measurements.cold : m_measurements.warm).Add(MillisecondsSince(start_time));
       else
-        m_measured.between_tokens.Add(MillisecondsSince(last));
-      if (first && MillisecondsSince(began) > static_cast<double>(m_options.deadline_ms))
-        ++m_measured.late;
+        m_measurements.between_chunks.Add(MillisecondsSince(last));
+      if (first && MillisecondsSince(start_time) > static_cast<double>(m_options.deadline_ms))
+        ++m_measurements.late_first_tokens;
       first = false;
       last = Now();
       for (std::size_t at = chunk->find("data: "); at != std::string::npos;
            at = chunk->find("data: ", at + 1))
-        ++m_measured.tokens;
+        ++m_measurements.tokens;
       tail += *chunk;
       if (tail.size() > TAIL_BYTES)
         tail.erase(0, tail.size() - TAIL_BYTES);
     }
-    Count(tail.ends_with("[DONE]\n\n") ? "ok" : "broken");
+    CountOutcome(tail.ends_with("[DONE]\n\n") ? "ok" : "broken");
   }
 
   const Options& m_options;
   Http::Client m_client;
-  Measured m_measured;
+  Measurements m_measurements;
 };
 
 void RunUntil(const std::function<bool()>& condition)
 {
-  // A tick so that the condition is looked at although nothing happens.
+  // The timer wakes the main loop, so that the condition is checked even without other events.
   bool ticking = true;
   std::function<void()> tick = [&] {
     if (ticking)
@@ -237,39 +246,41 @@
     g_main_context_iteration(nullptr, TRUE);
 }
 
-void RunTrace(const Options& options, Sender& sender)
+void RunTrace(const Options& options, LoadGenerator& generator)
 {
   const auto trace = MakeTrace(options);
   std::size_t next = 0;
-  const TimePoint began = Now();
+  const TimePoint start_time = Now();
   RunUntil([&] {
-    const double now_s = MillisecondsSince(began) / 1000;
+    const double now_s = MillisecondsSince(start_time) / 1000;
     while (next < trace.size() && trace[next].at_s <= now_s)
     {
       const Arrival& arrival = trace[next++];
       const std::string& target = options.targets[arrival.target];
       const std::string& model = options.models[arrival.model];
-      Common::Spawn(arrival.job ? sender.Job(target, model) : sender.Chat(target, model));
+      Common::Spawn(arrival.job ? generator.SendJob(target, model)
+                                : generator.SendChat(target, model));
     }
-    return next == trace.size() && sender.Result().open == 0;
+    return next == trace.size() && generator.GetMeasurements().open_requests == 0;
   });
 }
 
-/// Each stream is followed by the next one until the time is over.
-Task<void> KeepStreaming(const Options& options, Sender& sender, std::size_t number, TimePoint end)
+/// Sends chat requests one after another until `end`.
+Task<void> KeepStreaming(const Options& options, LoadGenerator& generator, std::size_t number,
+                         TimePoint end)
 {
   while (Now() < end)
-    co_await sender.Chat(options.targets[number % options.targets.size()],
-                         options.models[number % options.models.size()]);
+    co_await generator.SendChat(options.targets[number % options.targets.size()],
+                                options.models[number % options.models.size()]);
 }
 
-void RunStreams(const Options& options, Sender& sender)
+void RunStreams(const Options& options, LoadGenerator& generator)
 {
   const TimePoint end = Now() + Milliseconds(static_cast<std::int64_t>(options.seconds * 1000));
   for (int number = 0; number < options.streams; ++number)
-    Common::Spawn(KeepStreaming(options, sender, static_cast<std::size_t>(number), end));
+    Common::Spawn(KeepStreaming(options, generator, static_cast<std::size_t>(number), end));
   RunUntil([&] {
-    return Now() >= end && sender.Result().open == 0;
+    return Now() >= end && generator.GetMeasurements().open_requests == 0;
   });
 }
 
@@ -297,39 +308,44 @@
   return models;
 }
 
-void Print(const Options& options, const Measured& measured, double took_s)
+void PrintMeasurements(const Options& options, const Measurements& measurements, double elapsed_s)
 {
-  const Json line = {{"label", options.label},
-                     {"seed", options.seed},
-                     {"seconds", took_s},
-                     {"outcomes", measured.outcomes},
-                     {"late", measured.late},
-                     {"tokens_per_s", std::round(static_cast<double>(measured.tokens) / took_s)},
-                     {"cold_first_token", measured.cold.Summary()},
-                     {"warm_first_token", measured.warm.Summary()},
-                     {"between_chunks", measured.between_tokens.Summary()},
-                     {"refusal", measured.refusal.Summary()}};
+  const Json line = {
+      {"label", options.label},
+      {"seed", options.seed},
+      {"seconds", elapsed_s},
+      {"outcomes", measurements.outcomes},
+      {"late", measurements.late_first_tokens},
+      {"tokens_per_s", std::round(static_cast<double>(measurements.tokens) / elapsed_s)},
+      {"cold_first_token", measurements.cold.Summary()},
+      {"warm_first_token", measurements.warm.Summary()},
+      {"between_chunks", measurements.between_chunks.Summary()},
+      {"refusal", measurements.refusal.Summary()}};
   std::cout << Common::DumpJson(line) << "\n";
 }
 } // namespace
 
 int main(int argc, char** argv)
 {
-  cxxopts::Options parser("drumpond-load", "Sends a seeded load and prints what it measured.");
+  cxxopts::Options parser("drumpond-load",
+                          "Sends a load generated from a seed and prints measurements as JSON.");
   parser.add_options()("targets", "URLs", cxxopts::value<std::vector<std::string>>())(
-      "models", "names; NAME:COUNT for NAME-01 to NAME-COUNT", cxxopts::value<std::string>())(
-      "rate", "requests a second", cxxopts::value<double>()->default_value("10"))(
-      "seconds", "length of the trace", cxxopts::value<double>()->default_value("10"))(
-      "exponent", "of the popularity's power law", cxxopts::value<double>()->default_value("1"))(
-      "burst-every", "seconds between bursts; 0: none",
-      cxxopts::value<double>()->default_value("0"))("burst-size", "requests of a burst",
-                                                    cxxopts::value<int>()->default_value("12"))(
-      "jobs-rate", "bulk jobs a second", cxxopts::value<double>()->default_value("0"))(
-      "tokens", "tokens of an answer", cxxopts::value<int>()->default_value("8"))(
-      "streams", "streams at once, without a trace", cxxopts::value<int>()->default_value("0"))(
+      "models", "model names; NAME:COUNT stands for NAME-01 to NAME-COUNT",
+      cxxopts::value<std::string>())("rate", "chat requests per second",
+                                     cxxopts::value<double>()->default_value("10"))(
+      "seconds", "duration of the load", cxxopts::value<double>()->default_value("10"))(
+      "exponent", "exponent of the power law of model popularity",
+      cxxopts::value<double>()->default_value("1"))("burst-every",
+                                                    "seconds between bursts; 0: none",
+                                                    cxxopts::value<double>()->default_value("0"))(
+      "burst-size", "requests per burst", cxxopts::value<int>()->default_value("12"))(
+      "jobs-rate", "bulk jobs per second", cxxopts::value<double>()->default_value("0"))(
+      "tokens", "tokens per response", cxxopts::value<int>()->default_value("8"))(
+      "streams", "concurrent streams in a closed loop, instead of a trace",
+      cxxopts::value<int>()->default_value("0"))(
       "deadline-ms", "deadline", cxxopts::value<std::int64_t>()->default_value("30000"))(
-      "seed", "of the trace", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "label", "copied into the output",
+      "seed", "seed of the trace", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "label", "label to include in the output",
       cxxopts::value<std::string>()->default_value(""))("help", "print this text");
   try
   {
@@ -353,13 +369,13 @@
     options.deadline_ms = parsed["deadline-ms"].as<std::int64_t>();
     options.seed = parsed["seed"].as<std::uint64_t>();
     options.label = parsed["label"].as<std::string>();
-    Sender sender(options);
-    const TimePoint began = Now();
+    LoadGenerator generator(options);
+    const TimePoint start_time = Now();
     if (options.streams > 0)
-      RunStreams(options, sender);
+      RunStreams(options, generator);
     else
-      RunTrace(options, sender);
-    Print(options, sender.Result(), MillisecondsSince(began) / 1000);
+      RunTrace(options, generator);
+    PrintMeasurements(options, generator.GetMeasurements(), MillisecondsSince(start_time) / 1000);
     return 0;
   }
   catch (const cxxopts::exceptions::exception& error)
--- a/Source/Tool/LogCommands.cpp
+++ b/Source/Tool/LogCommands.cpp
@@ -1,8 +1,8 @@
 // SPDX-FileCopyrightText: 2026 The drumpond developers
 // SPDX-License-Identifier: Apache-2.0
 
-// Commands that need no daemon: what the logs tell of a request, and whether a settings file is
-// sound.
+// Commands that read files and need no daemon: tracing a request through the logs, and validating a
+// settings file.
 
 #include <algorithm>
 #include <fstream>
@@ -20,22 +20,22 @@
 {
 namespace
 {
-/// Lines of other things are shown from so long before the request's first line on: a load from the
-/// weight store takes some seconds, and what kept a model away lies before the request.
+/// Related events are shown from this long before the request's first line. A load from the weight
+/// store takes several seconds, and the reason why a model was not loaded precedes the request.
 constexpr std::int64_t CONTEXT_BEFORE_MS = 10000;
-/// Length of "2026-12-02T16:00:00.000", by which lines sort.
-constexpr std::size_t TIME_LENGTH = 23;
+/// Length of a timestamp such as "2026-12-02T16:00:00.000", by which lines are sorted.
+constexpr std::size_t TIMESTAMP_LENGTH = 23;
 
 struct LogLine
 {
   std::string file;
   std::string text;
 
-  std::string Time() const { return text.substr(0, TIME_LENGTH); }
+  std::string Timestamp() const { return text.substr(0, TIMESTAMP_LENGTH); }
 };
 
-/// The value of `key=value` or `key="value"` in a line.
-std::string FieldOf(const std::string& line, const std::string& key)
+/// Returns the value of `key=value` or `key="value"` in a line, or an empty string.
+std::string FieldValue(const std::string& line, const std::string& key)
 {
   const auto at = line.find(" " + key + "=");
   if (at == std::string::npos)
@@ -58,21 +58,23 @@
       return std::nullopt;
     }
     for (std::string line; std::getline(in, line);)
-      if (line.size() > TIME_LENGTH && line.find(" event=") != std::string::npos)
+      if (line.size() > TIMESTAMP_LENGTH && line.find(" event=") != std::string::npos)
         lines.push_back({file, std::move(line)});
   }
-  std::ranges::stable_sort(lines, {}, &LogLine::Time);
+  std::ranges::stable_sort(lines, {}, &LogLine::Timestamp);
   return lines;
 }
 
-/// Milliseconds since midnight; logs that are read together begin on one day or the next.
-std::int64_t ClockMs(const std::string& time)
+/// Returns the milliseconds since midnight. Logs that are read together may begin on consecutive
+/// days, but the date is ignored: related events are selected correctly only if all of them lie on
+/// the day of the request.
+std::int64_t MillisecondsSinceMidnight(const std::string& timestamp)
 {
   int hours = 0;
   int minutes = 0;
   double seconds = 0;
   char separator = 0;
-  std::istringstream in(time.substr(time.find('T') + 1));
+  std::istringstream in(timestamp.substr(timestamp.find('T') + 1));
   in >> hours >> separator >> minutes >> separator >> seconds;
   constexpr int MINUTES_PER_HOUR = 60;
   constexpr int MS_PER_MINUTE = 60000;
@@ -81,55 +83,58 @@
          static_cast<std::int64_t>(seconds * MS_PER_SECOND);
 }
 
-/// What a request's lines name, by which other lines belong to its story.
-struct Subjects
+/// Models, server instances and fingerprints that a request's lines name, and the time span of
+/// these lines. Used to select related events.
+struct RequestContext
 {
   std::set<std::string> models;
   std::set<std::string> instances;
   std::set<std::string> fingerprints;
-  std::string first;
-  std::string last;
+  std::string first_timestamp;
+  std::string last_timestamp;
 };
 
-Subjects SubjectsOf(const std::vector<LogLine>& lines, const std::string& id)
+RequestContext CollectContext(const std::vector<LogLine>& lines, const std::string& id)
 {
-  Subjects subjects;
+  RequestContext context;
   for (const LogLine& line : lines)
   {
-    if (FieldOf(line.text, "id") != id)
+    if (FieldValue(line.text, "id") != id)
       continue;
-    if (subjects.first.empty())
-      subjects.first = line.Time();
-    subjects.last = line.Time();
-    const std::string artifact = FieldOf(line.text, "artifact");
+    if (context.first_timestamp.empty())
+      context.first_timestamp = line.Timestamp();
+    context.last_timestamp = line.Timestamp();
+    const std::string artifact = FieldValue(line.text, "artifact");
     if (!artifact.empty())
-      subjects.models.insert(artifact.substr(0, artifact.find('/')));
-    if (const std::string instance = FieldOf(line.text, "instance"); !instance.empty())
-      subjects.instances.insert(instance);
-    if (const std::string print = FieldOf(line.text, "fingerprint"); !print.empty())
-      subjects.fingerprints.insert(print);
+      context.models.insert(artifact.substr(0, artifact.find('/')));
+    if (const std::string instance = FieldValue(line.text, "instance"); !instance.empty())
+      context.instances.insert(instance);
+    if (const std::string fingerprint = FieldValue(line.text, "fingerprint"); !fingerprint.empty())
+      context.fingerprints.insert(fingerprint);
   }
-  return subjects;
+  return context;
 }
 
-/// True for the lines that tell why such requests are refused, which may be minutes older.
-bool TellsOfBlock(const LogLine& line, const Subjects& subjects)
+/// True for events that blocked requests with the same fingerprint. They are shown regardless of
+/// their time, since they may be minutes older than the request.
+bool IsMatchingBlock(const LogLine& line, const RequestContext& context)
 {
-  return FieldOf(line.text, "event") == "request-blocked" &&
-         subjects.fingerprints.contains(FieldOf(line.text, "fingerprint"));
+  return FieldValue(line.text, "event") == "request-blocked" &&
+         context.fingerprints.contains(FieldValue(line.text, "fingerprint"));
 }
 
-/// True for lines on the request's servers and model, and on who gives orders and what is known.
-bool BelongsTo(const LogLine& line, const Subjects& subjects)
+/// True for events of the request's servers and models, and for changes of the order lease, the
+/// table source and the configuration.
+bool IsRelatedEvent(const LogLine& line, const RequestContext& context)
 {
-  const std::string event = FieldOf(line.text, "event");
-  const bool on_requests = event == "request" || event == "attempt-failed";
-  if (on_requests)
+  const std::string event = FieldValue(line.text, "event");
+  const bool is_request_event = event == "request" || event == "attempt-failed";
+  if (is_request_event)
     return false;
   if (event.starts_with("lease-") || event.starts_with("table-source") || event == "configuration")
     return true;
-  return subjects.instances.contains(FieldOf(line.text, "instance")) ||
-         subjects.models.contains(FieldOf(line.text, "model"));
+  return context.instances.contains(FieldValue(line.text, "instance")) ||
+         context.models.contains(FieldValue(line.text, "model"));
 }
 } // namespace
 
@@ -140,21 +145,22 @@
       ReadLogs({std::next(invocation.arguments.begin()), invocation.arguments.end()});
   if (!lines)
     return ExitStatus::Usage;
-  const Subjects subjects = SubjectsOf(*lines, id);
-  if (subjects.first.empty())
+  const RequestContext context = CollectContext(*lines, id);
+  if (context.first_timestamp.empty())
   {
-    std::cerr << "drumpond: no line names the request " << id << "\n";
+    std::cerr << "drumpond: no log line has the request id " << id << "\n";
     return ExitStatus::Failed;
   }
-  const std::int64_t from = ClockMs(subjects.first) - CONTEXT_BEFORE_MS;
-  const std::int64_t to = ClockMs(subjects.last);
+  const std::int64_t from = MillisecondsSinceMidnight(context.first_timestamp) - CONTEXT_BEFORE_MS;
+  const std::int64_t to = MillisecondsSinceMidnight(context.last_timestamp);
   for (const LogLine& line : *lines)
   {
-    const bool own = FieldOf(line.text, "id") == id;
-    const std::int64_t at = ClockMs(line.Time());
-    const bool in_time = at >= from && at <= to;
-    if (own || TellsOfBlock(line, subjects) || (in_time && BelongsTo(line, subjects)))
-      std::cout << (own ? "* " : "  ") << line.file << " " << line.text << "\n";
+    const bool is_request_line = FieldValue(line.text, "id") == id;
+    const std::int64_t at = MillisecondsSinceMidnight(line.Timestamp());
+    const bool in_time_window = at >= from && at <= to;
+    if (is_request_line || IsMatchingBlock(line, context) ||
+        (in_time_window && IsRelatedEvent(line, context)))
+      std::cout << (is_request_line ? "* " : "  ") << line.file << " " << line.text << "\n";
   }
   return ExitStatus::Ok;
 }
@@ -170,8 +176,8 @@
   const std::string text{std::istreambuf_iterator<char>(in), {}};
   const auto settings = PlatformAdapter::DecodeSettings(text);
   if (!settings)
-    return Report(settings.Reason());
-  std::cout << "sound: " << settings->vm.Get() << " in " << settings->data_centre.Get()
+    return ReportFailure(settings.Reason());
+  std::cout << "valid: " << settings->vm.Get() << " in " << settings->data_centre.Get()
             << ", callers at " << settings->callers.ToString() << "\n";
   return ExitStatus::Ok;
 }
